--- a/apps/valelead-daemon/src/gateway/load-forecast.ts
+++ b/apps/valelead-daemon/src/gateway/load-forecast.ts
@@ -1,7 +1,7 @@
 import {getSoonestMs} from '@valelead/residency';
 import type {Demand} from './demand.js';
 import type {LoadSites} from './load-sites.js';
-import {newWantedUnit} from './new-wanted-unit.js';
+import {newPlacementRequest} from './new-placement-request.js';
 
 type Forecast = {
 	/** When the unit is loaded, in monotonic milliseconds; undefined where that is not known. */
@@ -37,7 +37,7 @@
 	}
 
 	#make({service, model, adapter, target}: Demand, now: number): Forecast {
-		const unit = newWantedUnit({
+		const unit = newPlacementRequest({
 			service, model, adapter, key: target,
 		});
 		const shape = this.#sites.getShape(unit);
--- a/apps/valelead-daemon/src/gateway/load-planner.ts
+++ b/apps/valelead-daemon/src/gateway/load-planner.ts
@@ -7,13 +7,13 @@
 import {LoadForecast} from './load-forecast.js';
 import {LoadSites} from './load-sites.js';
 import {needsCarrier} from './needs-carrier.js';
-import {newWantedUnit} from './new-wanted-unit.js';
+import {newPlacementRequest} from './new-placement-request.js';
 import {ServiceEngines} from './service-engines.js';
 import type {Demand} from './demand.js';
 import type {GatewayRequest} from './gateway-request.js';
 import type {ModelRequests} from './model-requests.js';
 import type {SiteParts} from './site-parts.js';
-import type {WantedUnit} from './wanted-unit.js';
+import type {PlacementRequest} from './placement-request.js';
 
 /** The engine that was chosen for a wish, and when the others were last compared with it, in monotonic milliseconds. */
 type Choice = {
@@ -109,7 +109,7 @@
 		for (const {
 			service, target, model, adapter, weight, dueAt, leavesAt,
 		} of waiting) {
-			const unit = newWantedUnit({
+			const unit = newPlacementRequest({
 				service, model, adapter, key: target,
 			});
 			this.#addWish(table, before, unit, {
@@ -169,11 +169,11 @@
 		const needsCopy = wished < held.length * STORE_LOAD_FACTOR;
 		for (let index = 1; index <= missing; index += 1) {
 			const needsRoom = index > 1 || held.length === 0;
-			const unit = newWantedUnit({
+			const unit = newPlacementRequest({
 				service, model, adapter: '', key: `replica ${index} of ${getTarget(service, model, '')}`,
 			});
 			this.#addWish(table, before, {
-				...unit, needsCopy, needsRoom, excluded: this.#getChosenSites(service, model),
+				...unit, requiresCopy: needsCopy, requiresRoom: needsRoom, excludedUpstreamIds: this.#getChosenSites(service, model),
 			}, REPLICA_WAIT);
 		}
 	}
@@ -191,7 +191,7 @@
 	 */
 	#addCarrier({service, model}: ModelRequests, table: NeedTable, before: ReadonlyMap<string, Choice>, inProgress: number): void {
 		const unit = {
-			...newWantedUnit({
+			...newPlacementRequest({
 				service, model, adapter: '', key: `carrier of ${getTarget(service, model, '')}`,
 			}),
 			needsShortOfCopies: true,
@@ -206,7 +206,7 @@
 		return new Set([...this.#sites].filter(([key]) => key === name || key.startsWith(`${name}/`) || key.endsWith(` of ${name}`)).map(([, choice]) => choice.upstreamId));
 	}
 
-	#addWish(table: NeedTable, before: ReadonlyMap<string, Choice>, unit: WantedUnit, wait: Wait): void {
+	#addWish(table: NeedTable, before: ReadonlyMap<string, Choice>, unit: PlacementRequest, wait: Wait): void {
 		const choice = this.#sites.get(unit.key) ?? this.#choose(unit, before.get(unit.key));
 		if (choice === undefined) {
 			return;
@@ -219,7 +219,7 @@
 	}
 
 	/** The present choice, or another one where that is due and better. */
-	#choose(unit: WantedUnit, known: Choice | undefined): Choice | undefined {
+	#choose(unit: PlacementRequest, known: Choice | undefined): Choice | undefined {
 		if (known && this.#now - known.comparedAt < RECONSIDER_MS && this.#parts.isUsable(known.upstreamId)) {
 			return known;
 		}
@@ -245,7 +245,7 @@
 	}
 
 	/** The engine that a wish leaves out: its present choice once that has not begun for too long, or an earlier one. */
-	#getAvoidance({model}: WantedUnit, known: Choice | undefined): Avoidance | undefined {
+	#getAvoidance({model}: PlacementRequest, known: Choice | undefined): Avoidance | undefined {
 		if (!known) {
 			return undefined;
 		}
@@ -260,7 +260,7 @@
 		return known.avoided && this.#now < known.avoided.until ? known.avoided : undefined;
 	}
 
-	#compare(unit: WantedUnit, chosenId: string | undefined, avoidedId: string | undefined): Candidate | undefined {
+	#compare(unit: PlacementRequest, chosenId: string | undefined, avoidedId: string | undefined): Candidate | undefined {
 		const shape = this.#loadSites.getShape(unit);
 		if (!shape) {
 			return undefined;
--- a/apps/valelead-daemon/src/gateway/load-sites.ts
+++ b/apps/valelead-daemon/src/gateway/load-sites.ts
@@ -7,7 +7,7 @@
 import {hasRoom} from './has-room.js';
 import {newLoadSite} from './new-load-site.js';
 import type {SiteParts} from './site-parts.js';
-import type {WantedUnit} from './wanted-unit.js';
+import type {PlacementRequest} from './placement-request.js';
 
 /** The loads from the weight store that an engine is carrying out. */
 const getFetches = ({upstream, loads}: EngineView): StoreFetch[] => loads.filter(({pace}) => pace > 0).map(({model, pace}) => ({upstreamId: upstream.id, model, pace}));
@@ -50,7 +50,7 @@
 		return this.#getUsable(service).isSettled;
 	}
 
-	getShape({service, model}: Pick<WantedUnit, 'service' | 'model'>): ModelShape | undefined {
+	getShape({service, model}: Pick<PlacementRequest, 'service' | 'model'>): ModelShape | undefined {
 		const limits = this.#getLimits(service);
 		return limits && getModelShapes(limits).get(model);
 	}
@@ -59,12 +59,12 @@
 	 * Engines that could load the unit. A wish for a model itself means that those which hold it do not suffice. Few engines fetch from the
 	 * weight store, and none while the engines are not all known: the copy may lie on one that is not heard yet.
 	 */
-	getSuitable(unit: WantedUnit): LoadSite[] {
+	getSuitable(unit: PlacementRequest): LoadSite[] {
 		const {
-			service, model, adapter, needsRoom, needsShortOfCopies, excluded,
+			service, model, adapter, requiresRoom: needsRoom, requiresFewCopies: needsShortOfCopies, excludedUpstreamIds: excluded,
 		} = unit;
 		const {views, mostCopies, isSettled} = this.#getUsable(service);
-		const needsCopy = unit.needsCopy || !isSettled;
+		const needsCopy = unit.requiresCopy || !isSettled;
 		const limits = this.#getLimits(service);
 		return views
 			.filter(view => !excluded.has(view.upstream.id))
@@ -75,7 +75,7 @@
 	}
 
 	/** All engines of the unit's service that take orders and requests. */
-	getAll({service, model}: Pick<WantedUnit, 'service' | 'model'>): LoadSite[] {
+	getAll({service, model}: Pick<PlacementRequest, 'service' | 'model'>): LoadSite[] {
 		const limits = this.#getLimits(service);
 		const {views, mostCopies} = this.#getUsable(service);
 		return views.map(view => newLoadSite(view, model, limits, mostCopies));
--- a/apps/valelead-daemon/src/gateway/wanted-unit.ts
+++ b/apps/valelead-daemon/src/gateway/placement-request.ts
@@ -1,5 +1,5 @@
 /** A model, or an adapter on it, that is to be loaded on some engine of a service. */
-export type WantedUnit = {
+export type PlacementRequest = {
 	readonly service: string;
 	readonly model: string;
 	/** Empty for the model itself. */
@@ -7,11 +7,11 @@
 	/** Names the wish, so that the engine chosen for it is kept. */
 	readonly key: string;
 	/** Whether only engines with a copy come into question. */
-	readonly needsCopy: boolean;
+	readonly requiresCopy: boolean;
 	/** Whether only engines come into question where nothing has to make way. */
-	readonly needsRoom: boolean;
+	readonly requiresRoom: boolean;
 	/** Whether only engines come into question that keep few copies. */
-	readonly needsShortOfCopies: boolean;
+	readonly requiresFewCopies: boolean;
 	/** Engines that load the model for another wish already. */
-	readonly excluded: ReadonlySet<string>;
+	readonly excludedUpstreamIds: ReadonlySet<string>;
 };
