--- a/apps/valelead-daemon/src/gateway/demand-reporter.ts
+++ b/apps/valelead-daemon/src/gateway/demand-reporter.ts
@@ -59,7 +59,7 @@
 		const waiting = requests.filter(request => isWaiting(request)).map(request => ({request, demand: newDemand(request)}));
 		residency.setNeeds(planner.getNeeds([...waiting.map(({demand}) => demand), ...this.#returns.getDemands(now)], inProgress, now));
 		for (const {request, demand} of waiting) {
-			request.awaitedUpstreamId = planner.getSite(request.target) ?? '';
+			request.awaitedUpstreamId = planner.getChosenUpstreamId(request.target) ?? '';
 			const forecastMs = planner.getForecastMs(demand);
 			if (forecastMs !== undefined && isHopeless(demand, forecastMs, now) && giveUp(request, forecastMs, () => planner.getSourceCount(demand))) {
 				this.#returns.add(demand, now + forecastMs);
--- a/apps/valelead-daemon/src/gateway/engine-fleet.ts
+++ b/apps/valelead-daemon/src/gateway/engine-fleet.ts
@@ -47,7 +47,7 @@
 		copiesInMemory: source.copiesInMemory,
 		copiesOnDisk: source.copiesOnDisk,
 		inProgress: report?.inProgress ?? 0,
-		hasKeeper: report !== undefined,
+		isManaged: report !== undefined,
 	};
 };
 
--- a/apps/valelead-daemon/src/gateway/engine-knowledge.ts
+++ b/apps/valelead-daemon/src/gateway/engine-knowledge.ts
@@ -32,7 +32,7 @@
 	#engines: ReadonlyMap<string, KnownEngine> = new Map();
 
 	/** Takes all engines as they are known now. */
-	note(views: readonly EngineView[], now: number): void {
+	update(views: readonly EngineView[], now: number): void {
 		this.#engines = new Map(views.map(view => [view.upstream.id, this.#newKnown(view, now)]));
 	}
 
@@ -43,7 +43,7 @@
 		return engines.length > 0 && newCount <= engines.length * MOST_NEW_SHARE;
 	}
 
-	#newKnown({upstream: {id, service}, hasKeeper}: EngineView, now: number): KnownEngine {
+	#newKnown({upstream: {id, service}, isManaged: hasKeeper}: EngineView, now: number): KnownEngine {
 		const known = this.#engines.get(id);
 		return known?.hasKeeper === hasKeeper ? known : {service, hasKeeper, since: now};
 	}
--- a/apps/valelead-daemon/src/gateway/engine-view.ts
+++ b/apps/valelead-daemon/src/gateway/engine-view.ts
@@ -14,5 +14,5 @@
 	/** Requests in progress that come from all gateways, as last reported. */
 	readonly inProgress: number;
 	/** Whether the process that gives it orders is reached and can be told what to load. */
-	readonly hasKeeper: boolean;
+	readonly isManaged: boolean;
 };
--- a/apps/valelead-daemon/src/gateway/has-room.ts
+++ b/apps/valelead-daemon/src/gateway/has-room.ts
@@ -1,6 +1,6 @@
 import {type EngineLimits, getModelShapes} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
-import {getSiteFacts} from './get-site-facts.js';
+import {getEngineUsage} from './get-engine-usage.js';
 
 /** Whether a model fits beside what is loaded on an engine or is going to be. */
 export const hasRoom = (view: EngineView, model: string, limits: EngineLimits | undefined): boolean => {
@@ -8,7 +8,7 @@
 		return false;
 	}
 
-	const {models, usedMemory} = getSiteFacts(view, limits);
+	const {models, usedMemory} = getEngineUsage(view, limits);
 	const ownMemory = models.has(model) ? 0 : getModelShapes(limits).get(model)?.weightMemory ?? 0;
 	return usedMemory + ownMemory <= limits.weightMemory;
 };
--- a/apps/valelead-daemon/src/gateway/load-sites.ts
+++ b/apps/valelead-daemon/src/gateway/load-candidates.ts
@@ -5,8 +5,8 @@
 import type {EngineView} from './engine-view.js';
 import {EngineKnowledge} from './engine-knowledge.js';
 import {hasRoom} from './has-room.js';
-import {newLoadSite} from './new-load-site.js';
-import type {SiteParts} from './site-parts.js';
+import {newLoadCandidate} from './new-load-candidate.js';
+import type {PlannerParts} from './planner-parts.js';
 import type {PlacementRequest} from './placement-request.js';
 
 /** The loads from the weight store that an engine is carrying out. */
@@ -21,8 +21,8 @@
 };
 
 /** The engines as places where units could be loaded. */
-export class LoadSites {
-	readonly #parts: SiteParts;
+export class LoadCandidates {
+	readonly #parts: PlannerParts;
 	readonly #knowledge = new EngineKnowledge();
 	/** The engines of each service that fetch from the weight store, worked out once for all units of a turn. */
 	readonly #fetchers = new Map<string, ReadonlySet<string>>();
@@ -31,17 +31,17 @@
 	readonly #storeLimit: StoreLimit = newStoreLimit();
 	#notedAt = 0;
 
-	constructor(parts: SiteParts) {
+	constructor(parts: PlannerParts) {
 		this.#parts = parts;
 	}
 
 	/** Notes which engines are known now. */
-	note(now: number): void {
+	refresh(now: number): void {
 		this.#notedAt = now;
 		this.#fetchers.clear();
 		this.#usable.clear();
 		const views = [...this.#parts.getViews().values()];
-		this.#knowledge.note(views, now);
+		this.#knowledge.update(views, now);
 		this.#noteFetches(views);
 	}
 
@@ -69,7 +69,7 @@
 		return views
 			.filter(view => !excluded.has(view.upstream.id))
 			.filter(view => (!needsRoom || hasRoom(view, model, limits)) && (!needsShortOfCopies || isShortOfCopies(view.copiesOnDisk.length, mostCopies)))
-			.map(view => newLoadSite(view, model, limits, mostCopies))
+			.map(view => newLoadCandidate(view, model, limits, mostCopies))
 			.filter(site => adapter !== '' || !site.isHeld)
 			.filter(site => site.hasMemoryCopy || site.hasDiskCopy || site.remainingMs !== undefined || (!needsCopy && this.#mayFetch(service, site)));
 	}
@@ -78,7 +78,7 @@
 	getAll({service, model}: Pick<PlacementRequest, 'service' | 'model'>): LoadSite[] {
 		const limits = this.#getLimits(service);
 		const {views, mostCopies} = this.#getUsable(service);
-		return views.map(view => newLoadSite(view, model, limits, mostCopies));
+		return views.map(view => newLoadCandidate(view, model, limits, mostCopies));
 	}
 
 	/** The weight store is one for all services. */
@@ -121,6 +121,6 @@
 
 	/** The engines that some process gives orders to. */
 	#getKept(service: string): EngineView[] {
-		return [...this.#parts.getViews().values()].filter(view => view.hasKeeper && view.upstream.service === service);
+		return [...this.#parts.getViews().values()].filter(view => view.isManaged && view.upstream.service === service);
 	}
 }
--- a/apps/valelead-daemon/src/gateway/load-forecast.ts
+++ b/apps/valelead-daemon/src/gateway/load-forecast.ts
@@ -1,6 +1,6 @@
 import {getSoonestMs} from '@valelead/residency';
 import type {Demand} from './demand.js';
-import type {LoadSites} from './load-sites.js';
+import type {LoadCandidates} from './load-candidates.js';
 import {newPlacementRequest} from './new-placement-request.js';
 
 type Forecast = {
@@ -13,11 +13,11 @@
 
 /** Tells when units that requests wait for are loaded at the soonest. */
 export class LoadForecast {
-	readonly #sites: LoadSites;
+	readonly #sites: LoadCandidates;
 	readonly #forecasts = new Map<string, Forecast>();
 	#clearedAt = 0;
 
-	constructor(sites: LoadSites) {
+	constructor(sites: LoadCandidates) {
 		this.#sites = sites;
 	}
 
--- a/apps/valelead-daemon/src/gateway/load-planner.ts
+++ b/apps/valelead-daemon/src/gateway/load-planner.ts
@@ -5,14 +5,14 @@
 import {getTarget} from './get-target.js';
 import {NeedTable} from './need-table.js';
 import {LoadForecast} from './load-forecast.js';
-import {LoadSites} from './load-sites.js';
-import {needsCarrier} from './needs-carrier.js';
+import {LoadCandidates} from './load-candidates.js';
+import {isOffloadReplicaMissing} from './is-offload-replica-missing.js';
 import {newPlacementRequest} from './new-placement-request.js';
 import {ServiceEngines} from './service-engines.js';
 import type {Demand} from './demand.js';
 import type {GatewayRequest} from './gateway-request.js';
 import type {ModelRequests} from './model-requests.js';
-import type {SiteParts} from './site-parts.js';
+import type {PlannerParts} from './planner-parts.js';
 import type {PlacementRequest} from './placement-request.js';
 
 /** The engine that was chosen for a wish, and when the others were last compared with it, in monotonic milliseconds. */
@@ -78,18 +78,18 @@
 
 /** Chooses the engines where models and adapters are to be loaded, for waiting requests and for busy models. */
 export class LoadPlanner {
-	readonly #parts: SiteParts;
+	readonly #parts: PlannerParts;
 	/** The engine that was chosen for each wish. */
 	#sites: Choices = new Map();
 	/** The engines of each service, looked through once for all models of a turn. */
 	readonly #engines = new Map<string, ServiceEngines>();
-	readonly #loadSites: LoadSites;
+	readonly #loadSites: LoadCandidates;
 	readonly #forecast: LoadForecast;
 	#now = 0;
 
-	constructor(parts: SiteParts) {
+	constructor(parts: PlannerParts) {
 		this.#parts = parts;
-		this.#loadSites = new LoadSites(parts);
+		this.#loadSites = new LoadCandidates(parts);
 		this.#forecast = new LoadForecast(this.#loadSites);
 	}
 
@@ -99,7 +99,7 @@
 		const before = this.#sites;
 		this.#sites = new Map();
 		this.#now = now;
-		this.#loadSites.note(now);
+		this.#loadSites.refresh(now);
 		for (const {upstreamId, head} of inProgress) {
 			table.add(upstreamId, {
 				model: head.model, adapter: head.adapter, waiting: 0, inProgress: 1, waits: [],
@@ -124,7 +124,7 @@
 	}
 
 	/** The engine that was chosen to load a target. */
-	getSite(target: string): string | undefined {
+	getChosenUpstreamId(target: string): string | undefined {
 		return this.#sites.get(target)?.upstreamId;
 	}
 
@@ -162,7 +162,7 @@
 		const wished = getWishedReplicas(inProgress + allWaiting, views[0]?.upstream.slots ?? 1);
 		// Where no engine holds the model, the waiting requests have wished for the first one.
 		const missing = wished - Math.max(1, held.length);
-		if (inProgress >= BUSY_REQUESTS && needsCarrier(views, held)) {
+		if (inProgress >= BUSY_REQUESTS && isOffloadReplicaMissing(views, held)) {
 			this.#addCarrier({service, model, waiting}, table, before, inProgress);
 		}
 
--- a/apps/valelead-daemon/src/gateway/new-load-site.ts
+++ b/apps/valelead-daemon/src/gateway/new-load-candidate.ts
@@ -1,14 +1,14 @@
 import type {LoadSite} from '@valelead/residency';
 import type {EngineLimits} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
-import {getSiteFacts} from './get-site-facts.js';
+import {getEngineUsage} from './get-engine-usage.js';
 import {hasRoom} from './has-room.js';
 
 /**
  * An engine as a place where a model could be loaded.
  * @param mostCopies - How many models the engine that keeps most copies has on its disk.
  */
-export const newLoadSite = (view: EngineView, model: string, limits: EngineLimits | undefined, mostCopies: number): LoadSite => {
+export const newLoadCandidate = (view: EngineView, model: string, limits: EngineLimits | undefined, mostCopies: number): LoadSite => {
 	const {upstream, models, loads, copiesInMemory, copiesOnDisk, inProgress} = view;
 	const load = loads.find(other => other.model === model);
 	return {
@@ -17,7 +17,7 @@
 		hasMemoryCopy: copiesInMemory.includes(model),
 		hasDiskCopy: copiesOnDisk.includes(model),
 		copyShare: copiesOnDisk.length / Math.max(1, mostCopies),
-		isInUse: !hasRoom(view, model, limits) && getSiteFacts(view, limits).isInUse,
+		isInUse: !hasRoom(view, model, limits) && getEngineUsage(view, limits).isEvictionBlocked,
 		remainingMs: load?.remainingMs,
 		isStarted: load?.isStarted ?? false,
 		busyMs: loads.find(other => other.isStarted)?.remainingMs ?? 0,
--- a/apps/valelead-daemon/src/gateway/site-parts.ts
+++ b/apps/valelead-daemon/src/gateway/planner-parts.ts
@@ -4,7 +4,7 @@
 import type {SiteChange} from './site-change.js';
 
 /** What a gateway knows of the engines where models could be loaded. */
-export type SiteParts = {
+export type PlannerParts = {
 	readonly getTable: () => RouteTable | undefined;
 	readonly getViews: () => ReadonlyMap<string, EngineView>;
 	/** Whether requests are sent to the upstream at present. */
--- a/apps/valelead-daemon/tests/engine-knowledge.steps.ts
+++ b/apps/valelead-daemon/tests/engine-knowledge.steps.ts
@@ -27,7 +27,7 @@
 	copiesInMemory: [],
 	copiesOnDisk: [],
 	inProgress: 0,
-	hasKeeper,
+	isManaged: hasKeeper,
 });
 
 const reach = (world: KnowledgeWorld, ids: string, at: number): void => {
@@ -87,7 +87,7 @@
 			due.shift()!.apply(engines);
 		}
 
-		knowledge.note([...engines.values()], now);
+		knowledge.update([...engines.values()], now);
 	}
 
 	return knowledge.isSettled(SERVICE, endsAt);
--- a/apps/valelead-daemon/tests/load-planner.steps.ts
+++ b/apps/valelead-daemon/tests/load-planner.steps.ts
@@ -39,7 +39,7 @@
 	copiesInMemory: [],
 	copiesOnDisk: copies,
 	inProgress: [...inProgress.values()].reduce((sum, count) => sum + count, 0),
-	hasKeeper: true,
+	isManaged: true,
 });
 
 /** Only the fields that the planner reads. */
