--- a/apps/valelead-daemon/tests/engine-fleet.feature
+++ b/apps/valelead-daemon/tests/engine-fleet.feature
@@ -1,20 +1,20 @@
-Feature: Places at an engine
-  The pattern is one busy model on few engines of 12 slots before 70 gateways, as at full size: a share of two places for each gateway
-  makes 140 places before 12 slots, and requests wait in one engine while another one is idle.
+Feature: Concurrency limit of a gateway at an engine
+  In a full-size installation, 70 gateways send requests for one busy model to few engines of 12 slots. If each gateway could send two requests to an
+  engine, up to 140 requests would go to its 12 slots, and requests would wait in one engine while another one is idle.
 
-  Scenario: Gateways leave an engine whose slots are in use
-    Given 70 gateways and an engine of 12 slots with 12 requests of others in progress
-    Then a gateway has 0 places there
+  Scenario: A gateway sends nothing to an engine whose slots are in use by other gateways
+    Given 70 gateways and an engine of 12 slots with 12 requests of other gateways in progress
+    Then the concurrency limit of a gateway is 0
 
   Scenario: A gateway takes no more than its share
-    Given 70 gateways and an engine of 12 slots with 3 requests of others in progress
-    Then a gateway has 2 places there
+    Given 70 gateways and an engine of 12 slots with 3 requests of other gateways in progress
+    Then the concurrency limit of a gateway is 2
 
-  Scenario: Its own requests do not take its places
-    Given 70 gateways and an engine of 12 slots with 11 requests of others in progress
+  Scenario: A gateway's own requests do not lower its limit
+    Given 70 gateways and an engine of 12 slots with 11 requests of other gateways in progress
     And 1 more request of this gateway
-    Then a gateway has 1 place there
+    Then the concurrency limit of a gateway is 1
 
-  Scenario: An upstream without a sidecar's word is shared by slots alone
+  Scenario: The limit at an engine without a report depends on its slots alone
     Given 5 gateways and an engine of 6 slots without a report
-    Then a gateway has 3 places there
+    Then the concurrency limit of a gateway is 3
--- a/apps/valelead-daemon/tests/engine-fleet.steps.ts
+++ b/apps/valelead-daemon/tests/engine-fleet.steps.ts
@@ -16,7 +16,7 @@
 const ADDRESS = '10.0.0.1:80';
 const TABLE = {services: new Map()};
 
-Given('{int} gateways and an engine of {int} slots with {int} requests of others in progress', function (this: FleetWorld, gateways: number, slots: number, others: number) {
+Given('{int} gateways and an engine of {int} slots with {int} requests of other gateways in progress', function (this: FleetWorld, gateways: number, slots: number, others: number) {
 	Object.assign(this, {
 		gateways, slots, others, own: 0,
 	});
@@ -32,7 +32,7 @@
 	this.own = own;
 });
 
-Then('a gateway has {int} place(s) there', function (this: FleetWorld, places: number) {
+Then('the concurrency limit of a gateway is {int}', function (this: FleetWorld, limit: number) {
 	const fleet = new EngineFleet();
 	fleet.setUpstreams([newUpstream(ENGINE, {address: ADDRESS, slots: this.slots})]);
 	if (this.others !== undefined) {
@@ -41,5 +41,5 @@
 
 	fleet.refresh(TABLE as never, this.gateways, () => this.own);
 	const [endpoint] = [...fleet.endpoints.values()].flat();
-	assert.equal(endpoint.places, places);
+	assert.equal(endpoint.places, limit);
 });
--- a/apps/valelead-daemon/tests/engine-knowledge.steps.ts
+++ b/apps/valelead-daemon/tests/engine-knowledge.steps.ts
@@ -3,7 +3,7 @@
 import {newUpstream} from '../../../tests/support/new-upstream.js';
 import {type EngineView, EngineKnowledge} from 'valelead-daemon';
 
-/** A change of the engines that are known. */
+/** A change of the set of known engines at a time. */
 type Change = {
 	readonly at: number;
 	readonly apply: (engines: Map<string, EngineView>) => void;
@@ -50,7 +50,7 @@
 	reach(this, ids, at);
 });
 
-When('engine {string} is gone at {int} ms', function (this: KnowledgeWorld, id: string, at: number) {
+When('engine {string} is removed at {int} ms', function (this: KnowledgeWorld, id: string, at: number) {
 	this.changes.push({
 		at,
 		apply(engines) {
@@ -59,7 +59,7 @@
 	});
 });
 
-When('all engines are gone at {int} ms', function (this: KnowledgeWorld, at: number) {
+When('all engines are removed at {int} ms', function (this: KnowledgeWorld, at: number) {
 	this.changes.push({
 		at,
 		apply(engines) {
@@ -77,7 +77,7 @@
 	});
 });
 
-/** Whether the engines are known well enough at the end of some time in which they are told of in small steps, as in a gateway. */
+/** Replays the changes in small steps up to a time, as a gateway is notified of them; returns true if the engines are known well enough then. */
 const isSettledAt = ({changes}: KnowledgeWorld, endsAt: number): boolean => {
 	const knowledge = new EngineKnowledge();
 	const engines = new Map<string, EngineView>();
@@ -97,11 +97,11 @@
 	assert.equal(isSettledAt(this, at), false);
 });
 
-Then('they are at {int} ms', function (this: KnowledgeWorld, at: number) {
+Then('the engines are known well enough at {int} ms', function (this: KnowledgeWorld, at: number) {
 	assert.equal(isSettledAt(this, at), true);
 });
 
-Then('they are known well enough at all times from {int} ms to {int} ms', function (this: KnowledgeWorld, from: number, to: number) {
+Then('the engines are known well enough at all times from {int} ms to {int} ms', function (this: KnowledgeWorld, from: number, to: number) {
 	for (let at = from; at <= to; at += STEP_MS) {
 		assert.equal(isSettledAt(this, at), true, `at ${at} ms`);
 	}
--- a/apps/valelead-daemon/tests/known-status.feature
+++ b/apps/valelead-daemon/tests/known-status.feature
@@ -1,41 +1,41 @@
 Feature: Known status of an engine on another machine
-  What an engine tells is some hundred milliseconds old; no order is decided on a state from before the last order.
+  The reports of an engine on another machine are some hundred milliseconds old. No order is decided by a state from before the last order.
 
   Background:
-    Given an engine that holds "a" tells at 0 ms that it has taken 0 orders
+    Given an engine that has loaded "a" reports at 0 ms that it has accepted 0 orders
 
-  Scenario: A state from before the last order is not decided on
-    When an order to load "b" is taken at 100 ms
-    And the engine tells at 200 ms that it has taken 0 orders
-    Then nothing may be decided
-    When the engine tells at 500 ms that it has taken 1 order and is busy
-    Then it is known to be busy, with "a" loaded
+  Scenario: No order is decided by a state from before the last order
+    When an order to load "b" is accepted at 100 ms
+    And the engine reports at 200 ms that it has accepted 0 orders
+    Then no order can be decided
+    When the engine reports at 500 ms that it has accepted 1 order and is busy
+    Then the engine is known to be busy, with "a" loaded
 
-  Scenario: An announcement that shows the end of the order is believed before older states
-    When an order to load "b" is taken at 100 ms
-    And the engine announces at 900 ms that it holds "a, b"
-    Then it is known to be idle, with "a, b" loaded
-    When the engine tells at 950 ms that it has taken 1 order and is busy
-    Then it is known to be idle, with "a, b" loaded
+  Scenario: An announcement that shows the end of the order takes precedence over older states
+    When an order to load "b" is accepted at 100 ms
+    And the engine announces at 900 ms that it has loaded "a, b"
+    Then the engine is known to be idle, with "a, b" loaded
+    When the engine reports at 950 ms that it has accepted 1 order and is busy
+    Then the engine is known to be idle, with "a, b" loaded
 
-  Scenario: An announcement from before the order shows nothing
-    When an order to load "b" is taken at 100 ms
-    And the engine announces at 120 ms that it holds "a"
-    And the engine tells at 200 ms that it has taken 0 orders
-    Then nothing may be decided
+  Scenario: An announcement from before the order does not confirm it
+    When an order to load "b" is accepted at 100 ms
+    And the engine announces at 120 ms that it has loaded "a"
+    And the engine reports at 200 ms that it has accepted 0 orders
+    Then no order can be decided
 
-  Scenario: An unload is shown by the model that is missing
-    When an order to unload "a" is taken at 100 ms
-    And the engine announces at 140 ms that it holds ""
-    Then it is known to be idle, with "" loaded
+  Scenario: An announcement without the model confirms its unload
+    When an order to unload "a" is accepted at 100 ms
+    And the engine announces at 140 ms that it has loaded ""
+    Then the engine is known to be idle, with "" loaded
 
-  Scenario: An order that shows nowhere is taken as lost after a while
-    When an order to load "b" is taken at 100 ms
-    And the engine tells at 1200 ms that it has taken 0 orders
-    Then it is known to be idle, with "a" loaded
+  Scenario: An order that no report shows counts as lost after a timeout
+    When an order to load "b" is accepted at 100 ms
+    And the engine reports at 1200 ms that it has accepted 0 orders
+    Then the engine is known to be idle, with "a" loaded
 
-  Scenario: Another run of the engine knows nothing of the order
-    When an order to load "b" is taken at 100 ms
+  Scenario: A new run of the engine has not received the order
+    When an order to load "b" is accepted at 100 ms
     And another run of the engine answers
-    And the engine tells at 200 ms that it has taken 0 orders
-    Then it is known to be idle, with "a" loaded
+    And the engine reports at 200 ms that it has accepted 0 orders
+    Then the engine is known to be idle, with "a" loaded
--- a/apps/valelead-daemon/tests/known-status.steps.ts
+++ b/apps/valelead-daemon/tests/known-status.steps.ts
@@ -11,7 +11,7 @@
 
 const newModels = (names: string): EngineStatus['models'] => names.split(', ').filter(Boolean).map(name => ({name, version: 1, adapters: []}));
 
-const tell = (world: StatusWorld, now: number, orderSequence: number, isBusy: boolean): void => {
+const report = (world: StatusWorld, now: number, orderSequence: number, isBusy: boolean): void => {
 	const models = newModels('a');
 	const status = {
 		bornAt: 0, models, pending: [], isBusy, orderSequence, queued: 0, active: 0, cacheUsedTokens: 0, cacheTokens: 1, copiesInMemory: [], copiesOnDisk: [],
@@ -19,24 +19,24 @@
 	world.isDecidable = world.known.take(status, now);
 };
 
-Given('an engine that holds {string} tells at {int} ms that it has taken {int} orders', function (this: StatusWorld, _held: string, now: number, orders: number) {
+Given('an engine that has loaded {string} reports at {int} ms that it has accepted {int} orders', function (this: StatusWorld, _loaded: string, now: number, orders: number) {
 	this.known = new KnownStatus();
-	tell(this, now, orders, false);
+	report(this, now, orders, false);
 });
 
-When('an order to {word} {string} is taken at {int} ms', function (this: StatusWorld, kind: string, model: string, now: number) {
+When('an order to {word} {string} is accepted at {int} ms', function (this: StatusWorld, kind: string, model: string, now: number) {
 	this.known.noteTaken({kind: kind === 'load' ? ORDER_KIND.Load : ORDER_KIND.Unload, model, adapter: ''}, 0, now);
 });
 
-When('the engine tells at {int} ms that it has taken {int} order(s)', function (this: StatusWorld, now: number, orders: number) {
-	tell(this, now, orders, false);
+When('the engine reports at {int} ms that it has accepted {int} order(s)', function (this: StatusWorld, now: number, orders: number) {
+	report(this, now, orders, false);
 });
 
-When('the engine tells at {int} ms that it has taken {int} order(s) and is busy', function (this: StatusWorld, now: number, orders: number) {
-	tell(this, now, orders, true);
+When('the engine reports at {int} ms that it has accepted {int} order(s) and is busy', function (this: StatusWorld, now: number, orders: number) {
+	report(this, now, orders, true);
 });
 
-When('the engine announces at {int} ms that it holds {string}', function (this: StatusWorld, now: number, models: string) {
+When('the engine announces at {int} ms that it has loaded {string}', function (this: StatusWorld, now: number, models: string) {
 	this.isDecidable = this.known.takeAnnounced({models: newModels(models), copiesInMemory: [], copiesOnDisk: []}, now);
 });
 
@@ -44,11 +44,11 @@
 	this.known.reset();
 });
 
-Then('nothing may be decided', function (this: StatusWorld) {
+Then('no order can be decided', function (this: StatusWorld) {
 	assert.equal(this.isDecidable, false);
 });
 
-Then('it is known to be {word}, with {string} loaded', function (this: StatusWorld, state: string, models: string) {
+Then('the engine is known to be {word}, with {string} loaded', function (this: StatusWorld, state: string, models: string) {
 	assert.equal(this.isDecidable, true);
 	assert.equal(this.known.value!.isBusy, state === 'busy');
 	assert.deepEqual(this.known.value!.models, newModels(models));
--- a/apps/valelead-daemon/tests/load-planner.steps.ts
+++ b/apps/valelead-daemon/tests/load-planner.steps.ts
@@ -12,8 +12,8 @@
 	planner: LoadPlanner;
 	waiting: Demand[];
 	inProgress: GatewayRequest[];
-	/** Where the model was to be loaded, in the order of time. */
-	sites: string[];
+	/** Ids of the engines that were chosen to load the model, in chronological order. */
+	chosenIds: string[];
 	changes: SiteChange[];
 };
 
@@ -24,16 +24,16 @@
 const PATIENCE_MS = 2400;
 const TIME_MS = 15_000;
 
-/** The planner has known the engines for long. */
+/** When the planner discovered the engines: long enough before `NOW` to count as known. */
 const SETTLED_AT = -10_000;
 const LOAD_MS = 800;
 const STEP_MS = 50;
 
 const split = (text: string): string[] => text.split(', ').filter(Boolean);
 
-const newView = (id: string, held: readonly string[], copies: readonly string[], inProgress: ReadonlyMap<string, number> = new Map()): EngineView => ({
+const newView = (id: string, loaded: readonly string[], copies: readonly string[], inProgress: ReadonlyMap<string, number> = new Map()): EngineView => ({
 	upstream: newUpstream(id, {service: SERVICE, address: '127.0.0.1:1'}),
-	models: held.map(name => ({name, version: 1, adapters: []})),
+	models: loaded.map(name => ({name, version: 1, adapters: []})),
 	inProgressByModel: inProgress,
 	loads: [],
 	copiesInMemory: [],
@@ -42,7 +42,7 @@
 	isManaged: true,
 });
 
-/** Only the fields that the planner reads. */
+/** Creates a request that has only the fields that the planner reads. */
 const newRequest = (unit: string, upstreamId = ''): GatewayRequest => {
 	const [model, adapter = ''] = unit.split('/');
 	const request: Pick<GatewayRequest, 'service' | 'target' | 'arrivedAt' | 'deadlineAt' | 'upstreamId'> & {readonly head: object; readonly route: object} = {
@@ -81,15 +81,15 @@
 	this.views = new Map(split(ids).map(id => [id, newView(id, [], MODELS)]));
 });
 
-Given('engines {string} that hold {string} with copies of all models', function (this: PlannerWorld, ids: string, held: string) {
-	this.views = new Map(split(ids).map(id => [id, newView(id, split(held), MODELS)]));
+Given('engines {string} that have loaded {string} and have copies of all models', function (this: PlannerWorld, ids: string, loaded: string) {
+	this.views = new Map(split(ids).map(id => [id, newView(id, split(loaded), MODELS)]));
 });
 
-Given('engines {string} that hold {string} with copies of {string}', function (this: PlannerWorld, ids: string, held: string, copies: string) {
-	this.views = new Map(split(ids).map(id => [id, newView(id, split(held), split(copies))]));
+Given('engines {string} that have loaded {string} and have copies of {string}', function (this: PlannerWorld, ids: string, loaded: string, copies: string) {
+	this.views = new Map(split(ids).map(id => [id, newView(id, split(loaded), split(copies))]));
 });
 
-Given('engine {string} holds {string} with {int} requests in progress', function (this: PlannerWorld, id: string, model: string, count: number) {
+Given('engine {string} has loaded {string} with {int} requests in progress', function (this: PlannerWorld, id: string, model: string, count: number) {
 	this.views.set(id, newView(id, [model, 'b', 'c'], MODELS, new Map([[model, count]])));
 });
 
@@ -97,7 +97,7 @@
 	this.waiting = Array.from({length: count}, () => newDemand(newRequest(unit)));
 });
 
-When('the sidecar of {string} tells of {int} requests of all gateways that wait for {string}', function (this: PlannerWorld, id: string, waiting: number, model: string) {
+When('the sidecar of {string} reports {int} requests of all gateways that wait for {string}', function (this: PlannerWorld, id: string, waiting: number, model: string) {
 	this.views.set(id, {
 		...this.views.get(id)!, loads: [{
 			model, remainingMs: LOAD_MS, waiting, isStarted: false, pace: 0,
@@ -109,59 +109,59 @@
 	this.inProgress = Array.from({length: count}, () => newRequest(model, id));
 });
 
-const getLoading = (world: PlannerWorld, model: string, isSettled = true): string[] => {
+const getChosenIds = (world: PlannerWorld, model: string, isSettled = true): string[] => {
 	world.planner.getNeeds([], [], isSettled ? SETTLED_AT : NOW - 1);
 	const needs = world.planner.getNeeds(world.waiting, world.inProgress, NOW);
 	return [...needs].filter(([, units]) => units.some(unit => unit.model === model && unit.waiting > 0)).map(([id]) => id);
 };
 
-Then('{int} engine(s) is/are to load {string}', function (this: PlannerWorld, count: number, model: string) {
-	assert.equal(getLoading(this, model).length, count);
+Then('{int} engine(s) is/are chosen to load {string}', function (this: PlannerWorld, count: number, model: string) {
+	assert.equal(getChosenIds(this, model).length, count);
 });
 
-Then('{int} engine(s) other than {string} is/are to load {string}', function (this: PlannerWorld, count: number, id: string, model: string) {
-	assert.equal(getLoading(this, model).filter(other => other !== id).length, count);
+Then('{int} engine(s) other than {string} is/are chosen to load {string}', function (this: PlannerWorld, count: number, id: string, model: string) {
+	assert.equal(getChosenIds(this, model).filter(other => other !== id).length, count);
 });
 
-Given('engine {string} holds {string} and {string} with {int} requests in progress each', function (this: PlannerWorld, id: string, _copy: string, held: string, count: number) {
-	this.views.set(id, newView(id, split(held), MODELS, new Map(split(held).map(model => [model, count]))));
+Given('engine {string} has {string} and has loaded {string} with {int} requests in progress each', function (this: PlannerWorld, id: string, _copy: string, loaded: string, count: number) {
+	this.views.set(id, newView(id, split(loaded), MODELS, new Map(split(loaded).map(model => [model, count]))));
 });
 
 When('{int} request of the gateway waits for {string} for {int} ms and no engine begins to load', function (this: PlannerWorld, count: number, model: string, waitedMs: number) {
 	this.waiting = Array.from({length: count}, () => newDemand(newRequest(model)));
 	this.planner.getNeeds([], [], SETTLED_AT);
-	this.sites = [];
+	this.chosenIds = [];
 	for (let now = NOW; now <= NOW + waitedMs; now += STEP_MS) {
 		const needs = this.planner.getNeeds(this.waiting, [], now);
-		this.sites.push(...[...needs].filter(([, units]) => units.some(unit => unit.model === model.split('/')[0] && unit.waiting > 0)).map(([id]) => id));
+		this.chosenIds.push(...[...needs].filter(([, units]) => units.some(unit => unit.model === model.split('/')[0] && unit.waiting > 0)).map(([id]) => id));
 	}
 });
 
-Then('it was to be loaded at {string} first and at {string} last', function (this: PlannerWorld, first: string, last: string) {
-	assert.equal(this.sites.at(0), first);
-	assert.equal(this.sites.at(-1), last);
+Then('the first chosen engine is {string} and the last one is {string}', function (this: PlannerWorld, first: string, last: string) {
+	assert.equal(this.chosenIds.at(0), first);
+	assert.equal(this.chosenIds.at(-1), last);
 });
 
-Given('engine {string} holds {string} and keeps no other copy', function (this: PlannerWorld, id: string, model: string) {
+Given('engine {string} has loaded {string} and has no other copy', function (this: PlannerWorld, id: string, model: string) {
 	this.views.set(id, newView(id, [model], [model]));
 });
 
-Then('it is told that the load moved from {string} to {string} as it was stuck', function (this: PlannerWorld, from: string, to: string) {
+Then('the load is reported to have moved from {string} to {string} because it was stuck', function (this: PlannerWorld, from: string, to: string) {
 	assert.deepEqual(this.changes.map(({fromUpstreamId, toUpstreamId, isStuck}) => ({fromUpstreamId, toUpstreamId, isStuck})), [{fromUpstreamId: from, toUpstreamId: to, isStuck: true}]);
 });
 
 Then('{string} is forecast to be loaded in {int} to {int} ms', function (this: PlannerWorld, model: string, leastMs: number, mostMs: number) {
-	getLoading(this, model);
+	getChosenIds(this, model);
 	const forecastMs = this.planner.getForecastMs(newDemand(newRequest(model)))!;
 	assert.ok(forecastMs >= leastMs && forecastMs <= mostMs, String(forecastMs));
 });
 
-Then('just after the engines became known, {int} engine(s) is/are to load {string}, and there is no forecast', function (this: PlannerWorld, count: number, model: string) {
-	assert.equal(getLoading(this, model, false).length, count);
+Then('just after discovery, {int} engine(s) is/are chosen to load {string}, and there is no forecast', function (this: PlannerWorld, count: number, model: string) {
+	assert.equal(getChosenIds(this, model, false).length, count);
 	assert.equal(this.planner.getForecastMs(newDemand(newRequest(model))), undefined);
 });
 
-Then('just after the engines became known, {int} engine is to load {string}, and it is forecast in {int} ms', function (this: PlannerWorld, count: number, model: string, forecastMs: number) {
-	assert.equal(getLoading(this, model, false).length, count);
+Then('just after discovery, {int} engine is chosen to load {string}, and it is forecast in {int} ms', function (this: PlannerWorld, count: number, model: string, forecastMs: number) {
+	assert.equal(getChosenIds(this, model, false).length, count);
 	assert.equal(this.planner.getForecastMs(newDemand(newRequest(model))), forecastMs);
 });
--- a/apps/valelead-daemon/tests/reborn-engine.steps.ts
+++ b/apps/valelead-daemon/tests/reborn-engine.steps.ts
@@ -9,18 +9,18 @@
 	EngineKeeper, type EnginePort, type EngineSummary, LOCAL_POLLS, type OrderTerms,
 } from 'valelead-daemon';
 
-type RebornWorld = {
+type RestartWorld = {
 	engine: FakeEngine;
-	keeper: EngineKeeper;
+	manager: EngineKeeper;
 	clock: VirtualClock;
 	summary: EngineSummary | undefined;
-	isOverfull: boolean;
+	isMemoryExceeded: boolean;
 };
 
 const MODELS = ['a', 'b', 'c', 'd', 'f'];
 const MODEL_MEMORY = 70;
 const ENGINE_MEMORY = 230;
-const PLACES = 3;
+const MAX_MODELS = 3;
 const LOAD_MS = 400;
 const LATE_MS = 4000;
 const SETTLE_MS = 3000;
@@ -36,21 +36,21 @@
 	}],
 });
 
-/** An engine that may start again under its id and carry out orders late, as the platform's engines do. */
+/** A fake engine that can restart under its id and carry out orders late, as the platform's engines may. */
 class FakeEngine {
 	readonly orders: string[] = [];
-	isMute = false;
-	isOverfull = false;
-	held: Set<string>;
+	isUnresponsive = false;
+	isMemoryExceeded = false;
+	loaded: Set<string>;
 	readonly #clock: VirtualClock;
 	#bornAt: number;
 	#sequence: number;
 	#isBusy = false;
 
-	constructor(clock: VirtualClock, bornAt: number, held: readonly string[], sequence: number) {
+	constructor(clock: VirtualClock, bornAt: number, loaded: readonly string[], sequence: number) {
 		this.#clock = clock;
 		this.#bornAt = bornAt;
-		this.held = new Set(held);
+		this.loaded = new Set(loaded);
 		this.#sequence = sequence;
 	}
 
@@ -60,7 +60,7 @@
 				instanceId: 'e',
 				status: {
 					bornAt: this.#bornAt,
-					models: [...this.held].map(name => ({name, version: 1, adapters: []})),
+					models: [...this.loaded].map(name => ({name, version: 1, adapters: []})),
 					pending: [],
 					isBusy: this.#isBusy,
 					orderSequence: this.#sequence,
@@ -80,11 +80,11 @@
 		this.#bornAt = bornAt;
 		this.#sequence = 0;
 		this.#isBusy = false;
-		this.held = new Set();
+		this.loaded = new Set();
 	}
 
 	async #order(terms: OrderTerms): ReturnType<EnginePort['order']> {
-		if (this.isMute) {
+		if (this.isUnresponsive) {
 			this.#clock.after(LATE_MS, () => {
 				this.#take(terms);
 			});
@@ -102,27 +102,27 @@
 		this.orders.push(`${order.kind} ${order.model} ${expectedSequence}`);
 		this.#sequence += 1;
 		if (order.kind === ORDER_KIND.Unload) {
-			this.held.delete(order.model);
+			this.loaded.delete(order.model);
 			return true;
 		}
 
 		this.#isBusy = true;
-		this.isOverfull ||= !this.held.has(order.model) && this.held.size >= PLACES;
+		this.isMemoryExceeded ||= !this.loaded.has(order.model) && this.loaded.size >= MAX_MODELS;
 		const bornAt = this.#bornAt;
 		this.#clock.after(LOAD_MS, () => {
 			if (this.#bornAt === bornAt) {
 				this.#isBusy = false;
-				this.held.add(order.model);
+				this.loaded.add(order.model);
 			}
 		});
 		return true;
 	}
 }
 
-const start = async (world: RebornWorld, bornAt: number, held: string, sequence: number): Promise<void> => {
+const start = async (world: RestartWorld, bornAt: number, loaded: string, sequence: number): Promise<void> => {
 	world.clock = new VirtualClock();
-	world.engine = new FakeEngine(world.clock, bornAt, split(held), sequence);
-	world.keeper = new EngineKeeper({
+	world.engine = new FakeEngine(world.clock, bornAt, split(loaded), sequence);
+	world.manager = new EngineKeeper({
 		holder: 'k',
 		concurrentStoreLoads: 0,
 		client: world.engine.port,
@@ -132,109 +132,109 @@
 		fence: 1,
 		polls: LOCAL_POLLS,
 	});
-	world.keeper.subscribe(summary => {
+	world.manager.subscribe(summary => {
 		world.summary = summary;
 	});
-	world.keeper.setCapacity({weightMemory: ENGINE_MEMORY, adapterSlots: 8, models: new Map(MODELS.map(name => [name, SIZE]))});
-	world.keeper.setRun({instanceId: 'e', bornAt});
-	world.keeper.start();
+	world.manager.setCapacity({weightMemory: ENGINE_MEMORY, adapterSlots: 8, models: new Map(MODELS.map(name => [name, SIZE]))});
+	world.manager.setRun({instanceId: 'e', bornAt});
+	world.manager.start();
 	await pass(world, SETTLE_MS);
 };
 
-const pass = async ({clock}: RebornWorld, ms: number): Promise<void> => clock.runUntil(clock.now() + ms);
+const pass = async ({clock}: RestartWorld, ms: number): Promise<void> => clock.runUntil(clock.now() + ms);
 
-Given('a keeper of engine {string} born at {int} that holds {string} and has taken {int} orders', async function (this: RebornWorld, _id: string, bornAt: number, held: string, sequence: number) {
-	await start(this, bornAt, held, sequence);
+Given('a manager of engine {string} with start time {int}, models {string} and {int} accepted orders', async function (this: RestartWorld, _id: string, bornAt: number, names: string, sequence: number) {
+	await start(this, bornAt, names, sequence);
 });
 
-Given('the engine leaves orders without an answer', function (this: RebornWorld) {
-	this.engine.isMute = true;
+Given('the engine does not reply to orders', function (this: RestartWorld) {
+	this.engine.isUnresponsive = true;
 });
 
-When('the engine answers orders again', function (this: RebornWorld) {
-	this.engine.isMute = false;
+When('the engine replies to orders again', function (this: RestartWorld) {
+	this.engine.isUnresponsive = false;
 });
 
-When('the engine starts again, born at {int}, holding nothing', async function (this: RebornWorld, bornAt: number) {
+When('the engine restarts with start time {int} and no models', async function (this: RestartWorld, bornAt: number) {
 	this.engine.orders.length = 0;
 	this.engine.restart(bornAt);
 	await pass(this, LOAD_MS);
 });
 
-When('the engine starts again at once, born at {int}, holding nothing', async function (this: RebornWorld, bornAt: number) {
+When('the engine restarts at once with start time {int} and no models', async function (this: RestartWorld, bornAt: number) {
 	this.engine.orders.length = 0;
 	this.engine.restart(bornAt);
-	this.keeper.setRun({instanceId: 'e', bornAt});
+	this.manager.setRun({instanceId: 'e', bornAt});
 	await pass(this, LOAD_MS / 4);
 });
 
-When('a gateway begins to wait for {string}', async function (this: RebornWorld, model: string) {
-	this.keeper.setNeeds('g', [newNeed(model)]);
+When('a gateway begins to wait for {string}', async function (this: RestartWorld, model: string) {
+	this.manager.setNeeds('g', [newNeed(model)]);
 	await pass(this, LOAD_MS / 4);
 });
 
-When('its directory still names the run born at {int}', async function (this: RebornWorld, bornAt: number) {
+When('the directory still lists the run with start time {int}', async function (this: RestartWorld, bornAt: number) {
 	await pass(this, SETTLE_MS);
-	this.keeper.setRun({instanceId: 'e', bornAt});
+	this.manager.setRun({instanceId: 'e', bornAt});
 	await pass(this, SETTLE_MS);
 });
 
-When('a gateway waits for {string}', async function (this: RebornWorld, models: string) {
-	this.keeper.setNeeds('g', split(models).map(model => newNeed(model)));
+When('a gateway waits for {string}', async function (this: RestartWorld, models: string) {
+	this.manager.setNeeds('g', split(models).map(model => newNeed(model)));
 	await pass(this, LOAD_MS);
 });
 
-/** Needs a model after the other, and no more of it once it is loaded. */
-const waitInTurn = async (world: RebornWorld, models: readonly string[]): Promise<void> => {
+/** Needs each model in turn, and stops needing it after the time of two loads. */
+const needInTurn = async (world: RestartWorld, models: readonly string[]): Promise<void> => {
 	for (const model of models) {
-		world.keeper.setNeeds('g', [newNeed(model)]);
+		world.manager.setNeeds('g', [newNeed(model)]);
 		await pass(world, 2 * LOAD_MS);
 	}
 
-	world.keeper.setNeeds('g', []);
+	world.manager.setNeeds('g', []);
 };
 
-When('a gateway waits for {string} in turn', async function (this: RebornWorld, models: string) {
-	await waitInTurn(this, split(models));
+When('a gateway waits for {string} one after the other', async function (this: RestartWorld, models: string) {
+	await needInTurn(this, split(models));
 });
 
-Then('the engine is ordered to load {string} at order {int}', function (this: RebornWorld, model: string, sequence: number) {
+Then('the engine is ordered to load {string} with sequence number {int}', function (this: RestartWorld, model: string, sequence: number) {
 	assert.deepEqual(this.engine.orders, [`load ${model} ${sequence}`]);
 });
 
-Then('gateways are told that run {string} holds {string}', function (this: RebornWorld, runId: string, models: string) {
+Then('the manager reports that run {string} has loaded {string}', function (this: RestartWorld, runId: string, models: string) {
 	assert.equal(this.summary?.upstreamId, runId);
 	assert.deepEqual(this.summary.models.map(model => model.name), split(models));
 });
 
-Then('the engine holds at most {int} models when the order of before is carried out late', async function (this: RebornWorld, most: number) {
+Then('the engine has loaded at most {int} models after the earlier order is carried out late', async function (this: RestartWorld, most: number) {
 	await pass(this, 2 * LATE_MS);
-	assert.equal(this.engine.isOverfull, false);
-	assert.ok(this.engine.held.size <= most);
+	assert.equal(this.engine.isMemoryExceeded, false);
+	assert.ok(this.engine.loaded.size <= most);
 });
 
-When('{int} random histories of restarts, orders without an answer and late orders are played', {timeout: 60_000}, async function (this: RebornWorld, count: number) {
+When('{int} random histories of restarts, unanswered orders and late orders are simulated', {timeout: 60_000}, async function (this: RestartWorld, count: number) {
 	const cycle = fc.record({
 		lost: fc.subarray(MODELS), wanted: fc.shuffledSubarray(MODELS), lostMs: fc.integer({min: 10, max: 1000}), betweenMs: fc.integer({min: 0, max: 3000}),
 	});
-	this.isOverfull = false;
+	this.isMemoryExceeded = false;
 	await fc.assert(fc.asyncProperty(fc.integer({min: 2, max: 8}), fc.array(cycle, {minLength: 1, maxLength: 4}), async (sequence, cycles) => {
 		await start(this, 1000, 'a, b', sequence);
 		for (const [index, {lost, wanted, lostMs, betweenMs}] of cycles.entries()) {
-			this.engine.isMute = true;
-			this.keeper.setNeeds('g', lost.map(model => newNeed(model)));
+			this.engine.isUnresponsive = true;
+			this.manager.setNeeds('g', lost.map(model => newNeed(model)));
 			await pass(this, lostMs);
 			this.engine.restart(2000 + index);
-			this.engine.isMute = false;
-			await waitInTurn(this, wanted);
+			this.engine.isUnresponsive = false;
+			await needInTurn(this, wanted);
 			await pass(this, betweenMs);
 		}
 
 		await pass(this, 2 * LATE_MS);
-		assert.equal(this.engine.isOverfull, false);
+		assert.equal(this.engine.isMemoryExceeded, false);
 	}), {numRuns: count, seed: 31});
 });
 
-Then('no engine was ordered beyond its memory', function (this: RebornWorld) {
-	assert.equal(this.engine.isOverfull, false);
+Then('no engine was ordered to load more than fits into its memory', function (this: RestartWorld) {
+	assert.equal(this.engine.isMemoryExceeded, false);
 });
