--- a/apps/valelead-daemon/src/gateway/upstream-book.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-book.ts
@@ -8,7 +8,7 @@
 import type {EngineView} from './engine-view.js';
 import type {UpstreamAgent} from './upstream-agent.js';
 
-type TrackerParts = {
+type TableParts = {
 	readonly clock: Clock;
 	readonly getTable: () => RouteTable | undefined;
 	readonly getGatewayCount: () => number;
@@ -19,14 +19,14 @@
 /** An upstream whose announcements have ceased still counts as responsive for this time after its last response, in milliseconds. */
 const RECENT_RESPONSE_MS = 3000;
 
-/** Tracks the upstreams that a gateway knows, the connections to them, and when they last responded. */
+/** Table of the upstreams that a gateway knows, with the connections to them and the time of their last response. */
 export class UpstreamBook {
-	readonly #parts: TrackerParts;
+	readonly #parts: TableParts;
 	readonly #fleet = new EngineFleet();
 	readonly #pool = new UpstreamPool();
 	readonly #respondedAt = new Map<string, number>();
 
-	constructor(parts: TrackerParts) {
+	constructor(parts: TableParts) {
 		this.#parts = parts;
 	}
 
--- a/apps/valelead-daemon/tests/reborn-engine.steps.ts
+++ b/apps/valelead-daemon/tests/reborn-engine.steps.ts
@@ -143,8 +143,8 @@
 
 const pass = async ({clock}: RestartWorld, ms: number): Promise<void> => clock.runUntil(clock.now() + ms);
 
-Given('a manager of engine {string} with start time {int}, models {string} and {int} accepted orders', async function (this: RestartWorld, _id: string, bornAt: number, names: string, sequence: number) {
-	await start(this, bornAt, names, sequence);
+Given('a manager of engine {string} with start time {int}, models {string} and {int} accepted orders', async function (this: RestartWorld, _id: string, bornAt: number, names: string, orders: number) {
+	await start(this, bornAt, names, orders);
 });
 
 Given('the engine does not reply to orders', function (this: RestartWorld) {
