--- a/apps/valelead-daemon/src/gateway/demand-reporter.ts
+++ b/apps/valelead-daemon/src/gateway/demand-reporter.ts
@@ -24,7 +24,7 @@
 const REFRESH_MS = 250;
 
 /**
- * Reports the units that this gateway needs to the sidecars of the engines chosen to load them, and refuses requests whose unit would be loaded too
+ * Reports the units that this gateway needs to the managers of the engines chosen to load them, and refuses requests whose unit would be loaded too
  * late.
  */
 export class DemandReporter {
--- a/apps/valelead-daemon/src/gateway/engine-fleet.ts
+++ b/apps/valelead-daemon/src/gateway/engine-fleet.ts
@@ -88,7 +88,7 @@
 	return {replicas, ids: getSpareReplicas(key, ranked, inProgress, replicas[0].upstream.slots)};
 };
 
-/** Combines the announcements of upstreams with the reports of their sidecars into the endpoints of each target. */
+/** Combines the announcements of upstreams with the reports of their managers into the endpoints of each target. */
 export class EngineFleet {
 	#upstreams: readonly Upstream[] = [];
 	readonly #reports = new Map<string, EngineReport>();
@@ -174,7 +174,7 @@
 
 	/**
 	 * Limits the concurrent requests of this gateway at an upstream to its share, and to the slots that the requests of other gateways leave free
-	 * according to the sidecar's report. Shares alone would exceed the slots with many gateways: 70 gateways would send up to 140 requests to 12 slots,
+	 * according to the manager's report. Shares alone would exceed the slots with many gateways: 70 gateways would send up to 140 requests to 12 slots,
 	 * and requests would wait in one engine while other replicas are idle. Considering the free slots raises the score of the simulated pattern
 	 * `large-rare` from 0.787 to 0.816; with few gateways the difference is within the error of measurement.
 	 */
--- a/apps/valelead-daemon/src/gateway/engine-links.ts
+++ b/apps/valelead-daemon/src/gateway/engine-links.ts
@@ -1,10 +1,10 @@
 import type {Upstream} from '@valelead/discovery';
 import type {UnitNeed} from '@valelead/residency';
 
-/** Connections from a gateway to the sidecars of engines. */
+/** Connections from a gateway to the managers of engines: their sidecars, or gateways in place of these. */
 export type EngineLinks = {
-	/** Connects to the sidecars of these engines and disconnects from all others. */
+	/** Connects to the managers of these engines and disconnects from all others. */
 	readonly follow: (engines: readonly Upstream[]) => void;
-	/** Sends each sidecar the units that this gateway needs on its engine; an engine that is missing in the map is needed for none. */
+	/** Sends each manager the units that this gateway needs on its engine; an engine that is missing in the map is needed for none. */
 	readonly setNeeds: (needs: ReadonlyMap<string, readonly UnitNeed[]>) => void;
 };
--- a/apps/valelead-daemon/src/gateway/get-loan-rate.ts
+++ b/apps/valelead-daemon/src/gateway/get-loan-rate.ts
@@ -3,7 +3,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Loans do not predict further loans once the leader has not replied for this time, in milliseconds. */
+/** Past loans are no longer used to estimate future ones once the leader has not replied for this time, in milliseconds. */
 const STALE_MS = 2500;
 
 /**
--- a/apps/valelead-daemon/src/gateway/load-candidates.ts
+++ b/apps/valelead-daemon/src/gateway/load-candidates.ts
@@ -59,8 +59,8 @@
 
 	/**
 	 * Returns the engines that are eligible to load the unit. Engines that have loaded a model are not eligible for the model itself: it is requested
-	 * because they do not suffice. Only selected engines may fetch a model without a copy from the weight store, and none while not all engines are
-	 * known: an engine that is still to be discovered may have the copy.
+	 * because they do not suffice. An engine without a copy would fetch the model from the weight store: only selected engines may do so, and none
+	 * while not all engines are known, as an engine that is still to be discovered may have a copy.
 	 */
 	getSuitable(request: PlacementRequest): LoadSite[] {
 		const {
--- a/apps/valelead-daemon/src/gateway/load-forecast.ts
+++ b/apps/valelead-daemon/src/gateway/load-forecast.ts
@@ -22,8 +22,8 @@
 	}
 
 	/**
-	 * Returns the time until the unit is loaded on any engine, in milliseconds. An engine that has the unit in its queue loads it in queue order, any
-	 * other engine after its load in progress. Returns undefined while the engines are not all known, as after the start of this process.
+	 * Returns the earliest time until the unit is loaded on some engine, in milliseconds. An engine that has the unit in its queue loads it in queue
+	 * order, any other engine after its load in progress. Returns undefined while the engines are not all known, as after the start of this process.
 	 */
 	getMs(demand: Demand, now: number): number | undefined {
 		if (now - this.#clearedAt > CACHE_TTL_MS) {
--- a/apps/valelead-daemon/src/gateway/load-planner.ts
+++ b/apps/valelead-daemon/src/gateway/load-planner.ts
@@ -141,7 +141,7 @@
 	}
 
 	/**
-	 * Returns the earliest time until a unit is loaded on any engine, in milliseconds; undefined while the engines are not all known. If the chosen
+	 * Returns the earliest time until a unit is loaded on some engine, in milliseconds; undefined while the engines are not all known. If the chosen
 	 * engine is expected to load the unit before the caller gives up, its time is returned without a look at the other engines.
 	 */
 	getForecastMs(demand: Demand): number | undefined {
@@ -164,7 +164,7 @@
 		const engines = this.#getEngines(service);
 		const {views} = engines;
 		const {replicas, inProgress, waiting: reportedWaiting} = engines.get(model);
-		// Sidecars report the waiting requests of all gateways, but their reports may not include all requests of this gateway.
+		// The managers of engines report the waiting requests of all gateways, but their reports may not include all requests of this gateway.
 		const allWaiting = Math.max(reportedWaiting, waiting);
 		const targetCount = getWishedReplicas(inProgress + allWaiting, views[0]?.upstream.slots ?? 1);
 		// If no engine has loaded the model, the first replica has already been placed for the waiting requests.
--- a/apps/valelead-daemon/src/gateway/loan-rate.ts
+++ b/apps/valelead-daemon/src/gateway/loan-rate.ts
@@ -7,6 +7,6 @@
 	shortSince: number | undefined;
 	/** When the leader last replied. */
 	answeredAt: number;
-	/** Numbers of requests that were lent within the window of `LOAN_RATE_WINDOW_MS`. */
+	/** The loans of the last `LOAN_RATE_WINDOW_MS`: when each was granted, and for how many requests. */
 	loans: ReadonlyArray<{readonly at: number; readonly amount: number}>;
 };
--- a/apps/valelead-daemon/src/gateway/service-engines.ts
+++ b/apps/valelead-daemon/src/gateway/service-engines.ts
@@ -6,7 +6,7 @@
 	readonly replicas: readonly EngineView[];
 	/** Requests of all gateways for the model that are in progress on these engines. */
 	readonly inProgress: number;
-	/** Requests of all gateways that wait for the model to be loaded, as sidecars report them. */
+	/** Requests of all gateways that wait for the model to be loaded, as the managers of the engines report them. */
 	readonly waiting: number;
 };
 
