--- a/apps/valelead-daemon/src/control/crash-intake.ts
+++ b/apps/valelead-daemon/src/control/crash-collector.ts
@@ -28,7 +28,7 @@
  * Puts together what gateways tell a leader of crashes, and follows which crashes some of them may still tell of. What merely waited at such a crash is
  * blamed for less, as it looks guilty until another gateway names what had just begun there.
  */
-export class CrashIntake {
+export class CrashCollector {
 	readonly #parts: IntakeParts;
 	#ledger = newCrashLedger();
 	/** Whether some gateways may not have told this leadership yet of the crashes before it. */
--- a/apps/valelead-daemon/src/control/quarantine-registry.ts
+++ b/apps/valelead-daemon/src/control/quarantine-registry.ts
@@ -8,7 +8,7 @@
 } from '@valelead/quarantine';
 import type {Logger} from 'pino';
 import {decodeCrash} from '../follower/decode-crash.js';
-import {CrashIntake} from './crash-intake.js';
+import {CrashCollector} from './crash-collector.js';
 import type {QuarantineLog} from './quarantine-log.js';
 
 type RegistryParts = {
@@ -63,7 +63,7 @@
  */
 export class QuarantineRegistry {
 	readonly #parts: RegistryParts;
-	readonly #intake: CrashIntake;
+	readonly #intake: CrashCollector;
 	#term = -1;
 	#version = 1;
 	/** Since when this voter knows of each quarantine, in monotonic milliseconds. */
@@ -85,7 +85,7 @@
 
 	constructor(parts: RegistryParts) {
 		this.#parts = parts;
-		this.#intake = new CrashIntake({
+		this.#intake = new CrashCollector({
 			...parts,
 			onCrash: (vm, runId) => {
 				this.#logCrash(vm, runId);
