--- a/apps/valelead-daemon/tests/crash-histories.steps.ts
+++ b/apps/valelead-daemon/tests/crash-histories.steps.ts
@@ -4,7 +4,7 @@
 import * as fc from 'fast-check';
 import {CrashInstallation} from './crash-installation.js';
 import {CRASH_STEP} from './crash-step.js';
-import {DISTURBED} from './disturbed.js';
+import {FAULT_KIND} from './fault-kind.js';
 
 type Step = typeof CRASH_STEP extends fc.Arbitrary<infer Value> ? Value : never;
 
@@ -51,12 +51,12 @@
 	const {voters, gateways} = installation;
 	const target = gateways[gateway];
 	const frozen = {
-		[DISTURBED.Leader]: () => [voters.voters[voters.leader].process],
-		[DISTURBED.Voters]: () => voters.voters.map(({process}) => process),
-		[DISTURBED.Gateway]: () => [target.process],
-		[DISTURBED.Cut]: () => [],
+		[FAULT_KIND.Leader]: () => [voters.voters[voters.leader].process],
+		[FAULT_KIND.Voters]: () => voters.voters.map(({process}) => process),
+		[FAULT_KIND.Gateway]: () => [target.process],
+		[FAULT_KIND.Cut]: () => [],
 	}[kind]();
-	target.isCut = kind === DISTURBED.Cut;
+	target.isCut = kind === FAULT_KIND.Cut;
 	for (const stopped of frozen) {
 		stopped.freeze();
 	}
@@ -67,7 +67,7 @@
 		stopped.thaw();
 	}
 
-	if (kind === DISTURBED.Gateway || kind === DISTURBED.Cut) {
+	if (kind === FAULT_KIND.Gateway || kind === FAULT_KIND.Cut) {
 		await pass(installation, RETURN_MS);
 	}
 };
--- a/apps/valelead-daemon/tests/disturbed.ts
+++ b/apps/valelead-daemon/tests/fault-kind.ts
@@ -1,4 +1,4 @@
 /** Processes of the model that a step disturbs. */
-export const DISTURBED = {
+export const FAULT_KIND = {
 	Leader: 'leader', Voters: 'voters', Gateway: 'gateway', Cut: 'cut',
 } as const;
