--- a/apps/valelead-daemon/tests/crash-histories.steps.ts
+++ b/apps/valelead-daemon/tests/crash-histories.steps.ts
@@ -3,10 +3,10 @@
 import {Then, When} from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {CrashInstallation} from './crash-installation.js';
-import {CRASH_STEP} from './crash-step.js';
+import {FAULT_STEP} from './fault-step.js';
 import {FAULT_KIND} from './fault-kind.js';
 
-type Step = typeof CRASH_STEP extends fc.Arbitrary<infer Value> ? Value : never;
+type Step = typeof FAULT_STEP extends fc.Arbitrary<infer Value> ? Value : never;
 
 type Standstill = {
 	/** The crash under the request from which on all voters stand still. */
@@ -139,7 +139,7 @@
 
 When('a caller sends such a request for {int} seconds in {int} random histories', {timeout: 120_000}, async function (this: HistoriesWorld, seconds: number, count: number) {
 	this.findings = [];
-	const histories = fc.sample(fc.tuple(fc.array(CRASH_STEP, {minLength: 1, maxLength: 4}), fc.nat()), {numRuns: count, seed: SEED});
+	const histories = fc.sample(fc.tuple(fc.array(FAULT_STEP, {minLength: 1, maxLength: 4}), fc.nat()), {numRuns: count, seed: SEED});
 	for (const [steps, seed] of histories) {
 		this.findings.push(...getFinding(await play(steps, seed, seconds * MS_PER_SECOND), `${JSON.stringify(steps)}, seed ${seed}`));
 	}
