--- a/apps/valelead-daemon/tests/crash-installation.ts
+++ b/apps/valelead-daemon/tests/crash-installation.ts
@@ -12,7 +12,7 @@
 import {newProcessTimers} from '../../../tests/support/new-process-timers.js';
 import {VirtualProcess} from '../../../tests/support/virtual-process.js';
 import {VirtualTime} from '../../../tests/support/virtual-time.js';
-import {CrashLink} from './crash-link.js';
+import {SimulatedLink} from './simulated-link.js';
 import {CrashVoters} from './crash-voters.js';
 import {
 	type GatewayRequest, CONNECTION_END, CrashGuard, FollowerSessions, GatewayLeases, QuarantineRegistry, StallWatch, encodeCrash,
@@ -279,8 +279,8 @@
 			return gateway.session === session && !isLost;
 		};
 
-		const there = new CrashLink(this.time, target, this.#delay);
-		const back = new CrashLink(this.time, gateway.process, this.#delay);
+		const there = new SimulatedLink(this.time, target, this.#delay);
+		const back = new SimulatedLink(this.time, gateway.process, this.#delay);
 		const ends: Array<() => void> = [];
 		const stream = {
 			on(_event: string, listener: () => void) {
--- a/apps/valelead-daemon/tests/crash-link.ts
+++ b/apps/valelead-daemon/tests/simulated-link.ts
@@ -2,7 +2,7 @@
 import type {VirtualTime} from '../../../tests/support/virtual-time.js';
 
 /** One way of a connection between two processes: nothing is lost or overtaken while it lasts. */
-export class CrashLink {
+export class SimulatedLink {
 	readonly #time: VirtualTime;
 	readonly #to: VirtualProcess;
 	readonly #getDelayMs: () => number;
