--- a/apps/valelead-daemon/tests/crash-installation.ts
+++ b/apps/valelead-daemon/tests/crash-installation.ts
@@ -13,7 +13,7 @@
 import {VirtualProcess} from '../../../tests/support/virtual-process.js';
 import {VirtualTime} from '../../../tests/support/virtual-time.js';
 import {SimulatedLink} from './simulated-link.js';
-import {CrashVoters} from './crash-voters.js';
+import {SimulatedVoters} from './simulated-voters.js';
 import {
 	type GatewayRequest, CONNECTION_END, CrashGuard, FollowerSessions, GatewayLeases, QuarantineRegistry, StallWatch, encodeCrash,
 } from 'valelead-daemon';
@@ -64,7 +64,7 @@
 export class CrashInstallation {
 	readonly time = new VirtualTime();
 	readonly clock: Clock = {now: () => this.time.now, wallNow: () => this.time.now};
-	readonly voters = new CrashVoters(this.time);
+	readonly voters = new SimulatedVoters(this.time);
 	readonly gateways: Gateway[] = [];
 	/** Engines that crashed under the request. */
 	crashes = 0;
--- a/apps/valelead-daemon/tests/crash-voters.ts
+++ b/apps/valelead-daemon/tests/simulated-voters.ts
@@ -21,7 +21,7 @@
 };
 
 /** Three voters that elect leaders and share a log, as far as the judgement on crashes sees them. */
-export class CrashVoters {
+export class SimulatedVoters {
 	readonly voters: readonly Candidate[];
 	readonly #time: VirtualTime;
 	readonly #intent = newIntent();
