--- a/apps/valelead-daemon/tests/crash-histories.steps.ts
+++ b/apps/valelead-daemon/tests/crash-histories.steps.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {Then, When} from '@cucumber/cucumber';
 import * as fc from 'fast-check';
-import {CrashInstallation} from './crash-installation.js';
+import {CrashSimulation} from './crash-simulation.js';
 import {FAULT_STEP} from './fault-step.js';
 import {FAULT_KIND} from './fault-kind.js';
 
@@ -38,7 +38,7 @@
 const FAST_MS = 10;
 const SLOW_MS = 900;
 
-const pass = async ({time}: CrashInstallation, ms: number): Promise<void> => {
+const pass = async ({time}: CrashSimulation, ms: number): Promise<void> => {
 	for (let passed = 0; passed < ms; passed += TURN_MS) {
 		time.advance(TURN_MS);
 		await new Promise(resolve => {
@@ -47,7 +47,7 @@
 	}
 };
 
-const disturb = async (installation: CrashInstallation, {kind, gateway, forMs}: Step): Promise<void> => {
+const disturb = async (installation: CrashSimulation, {kind, gateway, forMs}: Step): Promise<void> => {
 	const {voters, gateways} = installation;
 	const target = gateways[gateway];
 	const frozen = {
@@ -73,10 +73,10 @@
 };
 
 /** Installations whose messages take as long as a seed says, with gateways that have found a leader and a caller that has begun. */
-const start = async (seed: number): Promise<CrashInstallation> => {
+const start = async (seed: number): Promise<CrashSimulation> => {
 	const random = fc.sample(fc.double({min: 0, max: 1, noNaN: true}), {numRuns: 997, seed});
 	let drawn = 0;
-	const installation = new CrashInstallation(() => {
+	const installation = new CrashSimulation(() => {
 		drawn += 2;
 		const size = random[drawn % random.length];
 		return 2 + (size * (random[(drawn + 1) % random.length] < SLOW_SHARE ? SLOW_MS : FAST_MS));
@@ -87,9 +87,9 @@
 };
 
 /** Lets a history end without a disturbance. */
-const calm = async (installation: CrashInstallation, lengthMs: number): Promise<void> => pass(installation, Math.max(CALM_MS, lengthMs - installation.time.now));
+const calm = async (installation: CrashSimulation, lengthMs: number): Promise<void> => pass(installation, Math.max(CALM_MS, lengthMs - installation.time.now));
 
-const play = async (steps: readonly Step[], seed: number, lengthMs: number): Promise<CrashInstallation> => {
+const play = async (steps: readonly Step[], seed: number, lengthMs: number): Promise<CrashSimulation> => {
 	const installation = await start(seed);
 	for (const step of steps) {
 		await pass(installation, step.afterMs);
@@ -101,7 +101,7 @@
 };
 
 /** Plays a history in which all voters stand still from a crash on. */
-const playStandstill = async ({crash, forMs}: Standstill, seed: number, lengthMs: number): Promise<CrashInstallation> => {
+const playStandstill = async ({crash, forMs}: Standstill, seed: number, lengthMs: number): Promise<CrashSimulation> => {
 	const installation = await start(seed);
 	while (installation.crashes < crash) {
 		await pass(installation, TURN_MS);
@@ -120,7 +120,7 @@
 	return installation;
 };
 
-const getFinding = ({crashes, refusals}: CrashInstallation, history: string): string[] =>
+const getFinding = ({crashes, refusals}: CrashSimulation, history: string): string[] =>
 	crashes > MOST_CRASHES || refusals === 0 ? [`${crashes} engines, ${refusals} refusals: ${history}`] : [];
 
 When('a caller sends such a request for {int} seconds, and all voters stand still for up to {int} ms from its crash {int} on, in {int} random histories', {timeout: 120_000}, async function (
--- a/apps/valelead-daemon/tests/crash-installation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -61,7 +61,7 @@
 const ignore = (): void => undefined;
 
 /** Gateways with the shipped guard, voters with the shipped judgement and its rollout, and a caller that sends one request which crashes engines. */
-export class CrashInstallation {
+export class CrashSimulation {
 	readonly time = new VirtualTime();
 	readonly clock: Clock = {now: () => this.time.now, wallNow: () => this.time.now};
 	readonly voters = new SimulatedVoters(this.time);
