--- a/apps/valelead-daemon/src/control/committed-routing.ts
+++ b/apps/valelead-daemon/src/control/committed-routing.ts
@@ -10,66 +10,67 @@
 	readonly logger: Logger;
 };
 
-/** What a voter needs of the routing. */
-type RoutingTerms = {
-	/** All services, and those whose upstreams take orders. */
+/** The parts of a routing configuration that a voter uses. */
+type RoutingSummary = {
+	/** Names of all services. */
 	readonly services: ReadonlySet<string>;
+	/** Names of the services whose upstreams are engines that accept load and unload orders. */
 	readonly engineServices: ReadonlySet<string>;
-	/** By team. */
+	/** Quotas by team. */
 	readonly quotas: ReadonlyMap<string, Quota>;
 };
 
-const NO_TERMS: RoutingTerms = {services: new Set(), engineServices: new Set(), quotas: new Map()};
+const EMPTY_SUMMARY: RoutingSummary = {services: new Set(), engineServices: new Set(), quotas: new Map()};
 
-const newTerms = ({services, teams}: Routing): RoutingTerms => ({
+const newSummary = ({services, teams}: Routing): RoutingSummary => ({
 	services: new Set(services.map(service => service.name)),
 	engineServices: new Set(services.filter(service => service.engine !== undefined).map(service => service.name)),
 	quotas: new Map((teams ?? []).flatMap(({name, quota}) => quota ? [[name, quota]] : [])),
 });
 
-/** What the routing that this voter holds says of services and quotas; read anew when it changes. */
+/** Reads services and quotas from the routing configuration that this voter holds, and decodes it again when its version changes. */
 export class CommittedRouting {
 	readonly #parts: RoutingParts;
 	#version = 0;
-	#terms: RoutingTerms | undefined;
+	#summary: RoutingSummary | undefined;
 
 	constructor(parts: RoutingParts) {
 		this.#parts = parts;
 	}
 
-	/** Undefined before there is a routing. */
+	/** Names of all services; undefined before the first routing. */
 	get services(): ReadonlySet<string> | undefined {
 		return this.#read()?.services;
 	}
 
 	get engineServices(): ReadonlySet<string> {
-		return (this.#read() ?? NO_TERMS).engineServices;
+		return (this.#read() ?? EMPTY_SUMMARY).engineServices;
 	}
 
-	/** The same object until the routing changes. */
+	/** Quotas by team. Returns the same object until the routing changes. */
 	get quotas(): ReadonlyMap<string, Quota> {
-		return (this.#read() ?? NO_TERMS).quotas;
+		return (this.#read() ?? EMPTY_SUMMARY).quotas;
 	}
 
-	#read(): RoutingTerms | undefined {
+	#read(): RoutingSummary | undefined {
 		const routing = this.#parts.getRouting();
 		if (routing && routing.version !== this.#version) {
 			this.#version = routing.version;
-			this.#terms = this.#decode(routing);
+			this.#summary = this.#decode(routing);
 		}
 
-		return this.#terms;
+		return this.#summary;
 	}
 
-	#decode({version, document}: StoredRouting): RoutingTerms | undefined {
+	#decode({version, document}: StoredRouting): RoutingSummary | undefined {
 		try {
-			return newTerms(this.#parts.decodeRouting(document));
+			return newSummary(this.#parts.decodeRouting(document));
 		} catch (error) {
 			const code = error instanceof ValeleadError ? error.code : undefined;
 			this.#parts.logger.error({
 				event: 'routing-unreadable', version, code, reason: (error as Error).message,
-			}, 'a committed routing cannot be read; what the one before says stays known');
-			return this.#terms;
+			}, 'cannot decode the committed routing; keeping the previous one');
+			return this.#summary;
 		}
 	}
 }
--- a/apps/valelead-daemon/src/control/crash-collector.ts
+++ b/apps/valelead-daemon/src/control/crash-collector.ts
@@ -3,96 +3,100 @@
 	type Crash, type CrashLedger, mutateCrash, newCrashLedger,
 } from '@valelead/quarantine';
 
-type IntakeParts = {
+type CollectorParts = {
 	readonly clock: Clock;
 	readonly timers: TimerService;
-	/** Hears of a crash of which a gateway told something new. */
+	/** Called when a report adds something to what is known of a crash. */
 	readonly onCrash: (vm: string, runId: string) => void;
-	/** Hears of requests at crashes that are known from all gateways now. */
-	readonly onSettled: (fingerprints: readonly string[]) => void;
+	/** Called with the requests of crashes that every gateway has had time to report. */
+	readonly onComplete: (fingerprints: readonly string[]) => void;
 };
 
-/** All gateways have told of a crash after this time, in milliseconds, unless they are suspended or cut off. */
-const TELL_MS = 100;
+/** Time within which all gateways report a crash unless they are suspended or partitioned, in milliseconds. */
+const REPORT_WINDOW_MS = 100;
 
-/** A new leader has heard of the crashes that all gateways saw after this time, in milliseconds: two of their heartbeats. */
-const SETTLE_MS = 1000;
+/** Time within which all gateways report their earlier crashes to a new leader: two of their heartbeats, in milliseconds. */
+const NEW_TERM_WINDOW_MS = 1000;
 
-const mutateAdded = (set: Set<string>, values: readonly string[]): void => {
+const mutateUnion = (set: Set<string>, values: readonly string[]): void => {
 	for (const value of values) {
 		set.add(value);
 	}
 };
 
 /**
- * Puts together what gateways tell a leader of crashes, and follows which crashes some of them may still tell of. What merely waited at such a crash is
- * blamed for less, as it looks guilty until another gateway names what had just begun there.
+ * Merges the gateways' crash reports for the leader and marks crashes as partial while some gateways may not have reported them yet.
+ * A partial crash counts less against requests that only waited at the upstream: they look like its cause until another gateway reports
+ * the request that had just started there.
  */
 export class CrashCollector {
-	readonly #parts: IntakeParts;
+	readonly #parts: CollectorParts;
 	#ledger = newCrashLedger();
-	/** Whether some gateways may not have told this leadership yet of the crashes before it. */
-	#isSettling = false;
-	/** Gateways that have told this leadership what they know. */
-	readonly #heardVms = new Set<string>();
-	/** The run whose crash was heard of last, while some gateways may not have told of it yet. */
+	/** True while some gateways may not have reported the crashes that precede the current term. */
+	#isNewTerm = false;
+	/** Gateways that have sent a report in the current term. */
+	readonly #reportedVms = new Set<string>();
+	/** Run of the most recently reported crash, while some gateways may not have reported that crash yet. */
 	#newestRun: string | undefined;
 
-	constructor(parts: IntakeParts) {
+	constructor(parts: CollectorParts) {
 		this.#parts = parts;
 	}
 
-	/** What is known of crashes in this leadership. */
+	/** Crashes reported in the current term. */
 	get ledger(): CrashLedger {
 		return this.#ledger;
 	}
 
-	/** Begins a leadership with an empty ledger. Gateways tell it of earlier crashes in their first reports, one after the other. */
-	begin(): void {
+	/** Starts a term with an empty ledger. The first report of each gateway in the term repeats the earlier crashes it knows of. */
+	startTerm(): void {
 		const ledger = newCrashLedger();
 		this.#ledger = ledger;
-		this.#heardVms.clear();
+		this.#reportedVms.clear();
 		this.#newestRun = undefined;
-		this.#isSettling = true;
-		this.#parts.timers.after(SETTLE_MS, () => {
+		this.#isNewTerm = true;
+		this.#parts.timers.after(NEW_TERM_WINDOW_MS, () => {
 			if (this.#ledger === ledger) {
-				this.#settleAll();
+				this.#completeAll();
 			}
 		});
 	}
 
-	/** Takes the crashes of a report, and returns the requests of which more is known now. */
-	note(vm: string, crashes: readonly Crash[]): Set<string> {
-		const isBefore = this.#isSettling && !this.#heardVms.has(vm);
-		this.#heardVms.add(vm);
-		const news = new Set<string>();
+	/** Adds the crashes of a report. Returns the fingerprints of the requests whose evidence changed. */
+	addReport(vm: string, crashes: readonly Crash[]): Set<string> {
+		const isFirstReport = this.#isNewTerm && !this.#reportedVms.has(vm);
+		this.#reportedVms.add(vm);
+		const changed = new Set<string>();
 		for (const crash of crashes) {
-			if (!isBefore && !this.#ledger.crashes.has(crash.runId)) {
-				mutateAdded(news, this.#noteNewest(crash.runId));
+			if (!isFirstReport && !this.#ledger.crashes.has(crash.runId)) {
+				mutateUnion(changed, this.#setNewestRun(crash.runId));
 			}
 
-			if (mutateCrash(this.#ledger, crash, this.#parts.clock.now(), isBefore || this.#newestRun === crash.runId)) {
-				mutateAdded(news, crash.suspects.map(({fingerprint}) => fingerprint));
+			if (mutateCrash(this.#ledger, crash, this.#parts.clock.now(), isFirstReport || this.#newestRun === crash.runId)) {
+				mutateUnion(changed, crash.suspects.map(({fingerprint}) => fingerprint));
 				this.#parts.onCrash(vm, crash.runId);
 			}
 		}
 
-		return news;
+		return changed;
 	}
 
-	/** Only the newest crash is known in part: by the next one, reports of those before have come. Returns the requests at the one before. */
-	#noteNewest(runId: string): readonly string[] {
-		const settled = this.#settleNewest();
+	/**
+	 * Marks a crash as the newest and the previous newest as complete: all its reports arrive before the next crash. Returns the requests
+	 * of the previous crash.
+	 */
+	#setNewestRun(runId: string): readonly string[] {
+		const completed = this.#completeNewestRun();
 		this.#newestRun = runId;
-		this.#parts.timers.after(TELL_MS, () => {
+		this.#parts.timers.after(REPORT_WINDOW_MS, () => {
 			if (this.#newestRun === runId) {
-				this.#parts.onSettled(this.#settleNewest());
+				this.#parts.onComplete(this.#completeNewestRun());
 			}
 		});
-		return settled;
+		return completed;
 	}
 
-	#settleNewest(): readonly string[] {
+	#completeNewestRun(): readonly string[] {
 		const record = this.#newestRun === undefined ? undefined : this.#ledger.crashes.get(this.#newestRun);
 		this.#newestRun = undefined;
 		if (!record) {
@@ -103,12 +107,12 @@
 		return [...record.suspects.keys()];
 	}
 
-	#settleAll(): void {
-		this.#isSettling = false;
+	#completeAll(): void {
+		this.#isNewTerm = false;
 		for (const record of this.#ledger.crashes.values()) {
 			record.isPartial = false;
 		}
 
-		this.#parts.onSettled([...this.#ledger.runsBySuspect.keys()]);
+		this.#parts.onComplete([...this.#ledger.runsBySuspect.keys()]);
 	}
 }
--- a/apps/valelead-daemon/src/control/directory-news.ts
+++ b/apps/valelead-daemon/src/control/directory-news.ts
@@ -5,54 +5,55 @@
 import type {DirectoryProgress} from './directory-progress.js';
 import type {UpstreamRegistry} from './upstream-registry.js';
 
-type NewsParts = {
+type PublisherParts = {
 	readonly registry: Pick<UpstreamRegistry, 'epoch' | 'directory'>;
 	readonly timers: TimerService;
 };
 
 /**
- * What engines hold is told together this often, in milliseconds. Told at once, each swap of a model became a message to each follower:
- * with 84 engines that swap once a second and 160 followers, the leader spent a whole core on it, and engines waited 500 ms for the
- * answer to an announcement (`npm run bench:leader`). Gateways hear of an engine's models sooner from the process that orders it.
+ * Interval at which changes of the models on engines are published in one batch, in milliseconds. Without batching, each model swap sends
+ * one message to each follower: with 84 engines that swap once a second and 160 followers, this used a whole core of the leader, and
+ * engines waited 500 ms for the answer to an announcement (`npm run bench:leader`). Gateways learn an engine's models sooner from the
+ * process that manages the engine.
  */
-const HOLDINGS_MS = 1000;
+const PUBLISH_INTERVAL_MS = 1000;
 
-/** @param progress - What a follower knows once it has taken the delta. */
+/** @param progress - Version that a follower has after it applies the delta. */
 const encodeDelta = ({epoch, directoryVersion}: DirectoryProgress, isWhole: boolean, upstreams: readonly UpstreamChange[]): Uint8Array => toBinary(DirectoryDeltaSchema, create(DirectoryDeltaSchema, {
 	epoch, version: directoryVersion, isWhole, upstreams: upstreams.map(upstream => create(UpstreamRecordSchema, upstream as never)),
 }));
 
 /**
- * What followers are told of the directory. They all get the same few deltas, between the versions that were made public, so that each is
- * encoded once and not once for each follower.
+ * Publishes versions of the upstream directory and encodes the deltas between them. All followers receive deltas between the same published
+ * versions, so each delta is encoded once instead of once for each follower.
  */
 export class DirectoryNews {
-	readonly #parts: NewsParts;
+	readonly #parts: PublisherParts;
 	readonly #encoded = new Map<string, Uint8Array>();
-	#public: DirectoryProgress = {epoch: '', directoryVersion: 0};
+	#published: DirectoryProgress = {epoch: '', directoryVersion: 0};
 
-	constructor(parts: NewsParts) {
+	constructor(parts: PublisherParts) {
 		this.#parts = parts;
 	}
 
 	start(): void {
-		this.#parts.timers.repeat(HOLDINGS_MS, () => {
+		this.#parts.timers.repeat(PUBLISH_INTERVAL_MS, () => {
 			this.#publish();
 		});
 	}
 
-	/** What followers should know by now. */
+	/** Version that followers should have. Publishes urgent changes of the directory first. */
 	get progress(): DirectoryProgress {
 		const {epoch, directory} = this.#parts.registry;
-		const isUrgent = epoch !== this.#public.epoch || directory.urgentVersion > this.#public.directoryVersion;
+		const isUrgent = epoch !== this.#published.epoch || directory.urgentVersion > this.#published.directoryVersion;
 		if (isUrgent) {
 			this.#publish();
 		}
 
-		return this.#public;
+		return this.#published;
 	}
 
-	/** The change from what a follower knows to what it should know, as a DirectoryDelta. */
+	/** Returns the encoded DirectoryDelta from the version that a follower has to the published version. */
 	getDelta(known: DirectoryProgress): Uint8Array {
 		const {epoch, directoryVersion} = this.progress;
 		const isWhole = known.epoch !== epoch;
@@ -63,17 +64,17 @@
 		return encoded;
 	}
 
-	/** What one upstream announced, for a follower that learns nothing else with it. */
+	/** Returns an encoded delta with a single upstream. It leaves the follower's directory version unchanged. */
 	getSingleDelta(known: DirectoryProgress, upstream: Upstream): Uint8Array {
 		return encodeDelta(known, false, [{...upstream, areDiskCopiesUnchanged: false}]);
 	}
 
-	/** Names what is known now, for the followers; what was encoded before ends with it. */
+	/** Publishes the current version of the directory and clears the encoded deltas of the previous version. */
 	#publish(): void {
 		const {epoch, directory} = this.#parts.registry;
-		const isNews = epoch !== this.#public.epoch || directory.version !== this.#public.directoryVersion;
-		if (isNews) {
-			this.#public = {epoch, directoryVersion: directory.version};
+		const isChanged = epoch !== this.#published.epoch || directory.version !== this.#published.directoryVersion;
+		if (isChanged) {
+			this.#published = {epoch, directoryVersion: directory.version};
 			this.#encoded.clear();
 		}
 	}
--- a/apps/valelead-daemon/src/control/directory-progress.ts
+++ b/apps/valelead-daemon/src/control/directory-progress.ts
@@ -1,6 +1,6 @@
-/** How far somebody knows the directory. */
+/** A version of the upstream directory that a follower has or should have. */
 export type DirectoryProgress = {
-	/** The leadership that the directory belongs to. */
+	/** Identifies the leader and term that the version belongs to. Versions of different epochs are not comparable. */
 	readonly epoch: string;
 	readonly directoryVersion: number;
 };
--- a/apps/valelead-daemon/src/control/endpoint-table.ts
+++ b/apps/valelead-daemon/src/control/endpoint-table.ts
@@ -10,7 +10,7 @@
 	readonly version: number;
 };
 
-const getReady = (intent: Intent, report: VmReport): string[] => {
+const getReadyUnits = (intent: Intent, report: VmReport): string[] => {
 	const revoking = new Set((intent.grantsByVm.get(report.vm) ?? [])
 		.map(grantId => intent.grants.get(grantId)!)
 		.filter(grant => grant.isRevoking)
@@ -20,7 +20,7 @@
 
 const isSame = (left: Endpoint, right: Endpoint): boolean => JSON.stringify(left) === JSON.stringify(right);
 
-/** Where entries can send requests, with a version for each VM so that only changes are sent. */
+/** Table of the endpoints to which entries can send requests. Each VM's endpoint has a version, so that only changes are sent. */
 export class EndpointTable {
 	readonly #endpoints = new Map<string, VersionedEndpoint>();
 	#version = 1;
@@ -29,14 +29,14 @@
 		return this.#version;
 	}
 
-	/** Compares the table with what the leader knows now. */
+	/** Updates the endpoints from the leader's current state and gives each changed endpoint a new version. */
 	refresh(intent: Intent, fleet: Fleet, membership: MembershipSettings, now: number): void {
 		for (const vm of new Set([...this.#endpoints.keys(), ...fleet.vms.keys()])) {
 			this.#set(vm, this.#newEndpoint(intent, fleet, membership, vm, now));
 		}
 	}
 
-	/** The endpoints that changed after a version. */
+	/** Returns the endpoints that changed after a version. */
 	getSince(version: number): Endpoint[] {
 		return [...this.#endpoints.values()].filter(known => known.version > version).map(known => known.endpoint);
 	}
@@ -53,7 +53,7 @@
 			vm,
 			dataCentre: report.dataCentre,
 			address: report.address,
-			ready: getReady(intent, report),
+			ready: getReadyUnits(intent, report),
 			service: report.service,
 			isClosed: false,
 		});
--- a/apps/valelead-daemon/src/control/explain-model.ts
+++ b/apps/valelead-daemon/src/control/explain-model.ts
@@ -39,7 +39,10 @@
 	return held >= unit.maxReplicas ? `all ${unit.maxReplicas} replicas are granted` : `${held} of at most ${unit.maxReplicas} replicas are granted`;
 };
 
-/** Why a model, adapter or version is or is not loaded on each VM. */
+/**
+ * Returns rows that explain for each VM why a model, adapter or version is or is not loaded there.
+ * @throws ValeleadError with NotFound if there is no such model.
+ */
 export const explainModel = (voter: Voter, leader: Leader, name: string): Row[] => {
 	const {intent} = voter.machine;
 	const key = getUnitKey(intent, name);
--- a/apps/valelead-daemon/src/control/first-shares.ts
+++ b/apps/valelead-daemon/src/control/first-shares.ts
@@ -1,85 +1,89 @@
 import type {Clock} from '@valelead/common';
 import type {FollowerSession} from './follower-session.js';
 
-type FirstSharesParts = {
+type SharesParts = {
 	readonly clock: Clock;
-	/** The present term. */
+	/** Returns the current term. */
 	readonly getTerm: () => number;
-	/** The term in which the first routing of all was proposed; undefined before it, and where that is not known any more. */
+	/** Returns the term in which the installation's first routing was proposed; undefined before that, or if the term is no longer known. */
 	readonly getFirstRoutingTerm: () => number | undefined;
-	/** Gateways that this voter hears. */
+	/** Returns the number of gateways that report to this voter. */
 	readonly getGatewayCount: () => number;
 };
 
 /**
- * For how long after the first routing shares are told, in milliseconds. Together with the lease of a gateway's share it is shorter than the time for which
- * a gateway that has one keeps to it.
+ * Time after the first routing during which shares are granted, in milliseconds. This time plus the lease of a share is shorter than the time
+ * for which a gateway that received a share keeps using it.
  */
-const TELL_MS = 5000;
+const GRANT_WINDOW_MS = 5000;
 
-/** For gateways that come while the first routing is told, as many shares are kept as there are gateways by then. */
+/** Shares per gateway known at the first routing. Half of the shares are left for gateways that connect while shares are granted. */
 const SHARES_PER_GATEWAY = 2;
 
-const LEAST_SHARES = 4;
+const MIN_SHARES = 4;
 
 /**
- * Divides, as the leader, the retries that nobody can have spent yet: those of an installation that gets its first routing. A gateway sends nothing before it
- * has a routing, and only a leader tells it the first one. The leadership in which the first one of all was proposed is the first that tells one, so
- * it knows every VM that may have sent something. All shares together are the whole, however many gateways ask.
+ * Divides the initial retry budget of an installation among its gateways. Runs on the leader. No gateway can have spent any of this budget:
+ * a gateway sends no requests before it has a routing configuration, and it gets its first one only from a leader. The leader in whose term
+ * the installation's first routing was proposed is the first to send one, so it knows every VM that may have sent requests. The shares never
+ * add up to more than the whole budget, however many gateways ask.
  */
 export class FirstShares {
-	readonly #parts: FirstSharesParts;
+	readonly #parts: SharesParts;
 	#term = -1;
-	/** Whether a gateway had a routing that this leadership did not tell. */
-	#hasOlder = false;
-	/** When the first routing was seen in its own term, in monotonic milliseconds, and the number of shares from then on. */
-	#routed: {readonly at: number; readonly shares: number} | undefined;
-	/** VMs whose gateway was told a routing. */
-	readonly #served = new Set<string>();
-	#given = 0;
+	/** True if a gateway reported a routing that it did not receive in the current term. */
+	#hasForeignRouting = false;
+	/** Time at which the first routing was seen in the term of its proposal, in monotonic milliseconds, and the number of shares since then. */
+	#firstRouting: {readonly at: number; readonly shares: number} | undefined;
+	/** VMs whose gateway was sent a routing in the current term. */
+	readonly #vmsWithRouting = new Set<string>();
+	#grantedShares = 0;
 
-	constructor(parts: FirstSharesParts) {
+	constructor(parts: SharesParts) {
 		this.#parts = parts;
 	}
 
-	/** Takes that the state behind the log may have changed. */
+	/** Checks the term and the first routing again. Called when the replicated state may have changed. */
 	noteState(): void {
 		const {getTerm, getFirstRoutingTerm, getGatewayCount, clock} = this.#parts;
 		const term = getTerm();
 		if (term !== this.#term) {
 			this.#term = term;
-			this.#hasOlder = false;
-			this.#routed = undefined;
-			this.#served.clear();
-			this.#given = 0;
+			this.#hasForeignRouting = false;
+			this.#firstRouting = undefined;
+			this.#vmsWithRouting.clear();
+			this.#grantedShares = 0;
 		}
 
 		if (getFirstRoutingTerm() === term) {
-			this.#routed ??= {at: clock.now(), shares: Math.max(LEAST_SHARES, getGatewayCount() * SHARES_PER_GATEWAY)};
+			this.#firstRouting ??= {at: clock.now(), shares: Math.max(MIN_SHARES, getGatewayCount() * SHARES_PER_GATEWAY)};
 		}
 	}
 
-	/** Takes a report. A routing that this leadership has not told shows that the log was lost. */
+	/** Takes a gateway's report. A routing that the gateway did not receive in this term shows that the replicated log was lost. */
 	note({vm}: Pick<FollowerSession, 'vm'>, {routingVersion}: {readonly routingVersion: number}): void {
 		this.noteState();
-		this.#hasOlder ||= routingVersion > 0 && !this.#served.has(vm);
+		this.#hasForeignRouting ||= routingVersion > 0 && !this.#vmsWithRouting.has(vm);
 	}
 
-	/** Takes that a gateway is told a routing; returns into how many shares the unspent retries are divided, or 0 where it gets none of them. */
+	/**
+	 * Claims a share for a gateway that is being sent a routing. Returns the number of shares into which the unspent retries are divided, or 0 if
+	 * the gateway gets no share.
+	 */
 	take({vm}: Pick<FollowerSession, 'vm'>): number {
 		this.noteState();
-		const isUnserved = !this.#served.has(vm);
-		this.#served.add(vm);
-		const routed = this.#routed;
-		if (!routed || this.#hasOlder || !isUnserved) {
+		const isFirstRouting = !this.#vmsWithRouting.has(vm);
+		this.#vmsWithRouting.add(vm);
+		const firstRouting = this.#firstRouting;
+		if (!firstRouting || this.#hasForeignRouting || !isFirstRouting) {
 			return 0;
 		}
 
-		if (this.#given >= routed.shares || this.#parts.clock.now() - routed.at > TELL_MS) {
+		if (this.#grantedShares >= firstRouting.shares || this.#parts.clock.now() - firstRouting.at > GRANT_WINDOW_MS) {
 			return 0;
 		}
 
-		this.#given += 1;
-		return routed.shares;
+		this.#grantedShares += 1;
+		return firstRouting.shares;
 	}
 }
--- a/apps/valelead-daemon/src/control/gateway-census.ts
+++ b/apps/valelead-daemon/src/control/gateway-census.ts
@@ -1,29 +1,29 @@
 import type {Clock} from '@valelead/common';
 
-/** A gateway that was silent for longer does not count among those that share budgets, in milliseconds. */
+/** A gateway that sends no report for this time no longer counts among the gateways that share budgets, in milliseconds. */
 const GATEWAY_SILENCE_MS = 5000;
 
-/** Counts, as the leader, the gateways that share budgets. */
+/** Counts the live gateways, among which the leader divides shared budgets. */
 export class GatewayCensus {
 	readonly #clock: Clock;
-	/** When each gateway was last heard, by VM. */
+	/** Time of the last report of each gateway, by VM. */
 	readonly #heardAt = new Map<string, number>();
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
-	/** Takes that a gateway was heard. */
+	/** Records a report of the gateway on a VM. */
 	note(vm: string): void {
 		this.#heardAt.set(vm, this.#clock.now());
 	}
 
-	/** Gateways that were heard and not forgotten since. Every update of every follower carries it. */
+	/** Number of live gateways. Every update to every follower carries this number, so reading it does not scan the gateways. */
 	get count(): number {
 		return this.#heardAt.size;
 	}
 
-	/** Forgets gateways that were silent for long; called often against that time. */
+	/** Removes gateways whose last report is too old. Must be called at an interval well below `GATEWAY_SILENCE_MS`. */
 	forgetSilent(): void {
 		const now = this.#clock.now();
 		for (const [vm, heardAt] of this.#heardAt) {
--- a/apps/valelead-daemon/src/control/gateway-leases.ts
+++ b/apps/valelead-daemon/src/control/gateway-leases.ts
@@ -10,98 +10,103 @@
 
 type KnownGateway = {
 	readonly session: FollowerSession;
-	isEnded: boolean;
+	isSessionEnded: boolean;
 };
 
 /**
- * For how long a gateway that is away counts as one that may have lost an upstream unnoticed, in milliseconds: until its callers have heard of it and
- * tried elsewhere. One that is gone for good would otherwise keep suspected requests back for ever.
+ * Time for which an absent gateway is assumed to have crashed one more upstream that the leader does not know of, in milliseconds. After this
+ * time its callers have received an error and tried another gateway. Without the limit, a gateway that never returns would hold suspected
+ * requests back forever.
  */
-const AWAY_MS = 10_000;
+const ABSENCE_LIMIT_MS = 10_000;
 
-/** Follows, as the leader, which gateways may send requests that had begun at a crash, and which may know of crashes that no leader has heard of. */
+/**
+ * Tracks which gateways hold a lease to send requests that had just started at a crash, and which gateways may know of crashes that no leader
+ * has received. Runs on the leader.
+ */
 export class GatewayLeases {
 	readonly #parts: LeasesParts;
-	/** By VM. */
+	/** Gateways that have reported in the current term, by VM. */
 	readonly #gateways = new Map<string, KnownGateway>();
 	#term = -1;
-	#ledSince = 0;
-	/** Gateways that followed an earlier leader, by what followers tell. */
+	#termStartedAt = 0;
+	/** Number of gateways that followed an earlier leader: the largest number that a follower reported in the current term. */
 	#expectedCount = 0;
 
 	constructor(parts: LeasesParts) {
 		this.#parts = parts;
 	}
 
-	/** Takes what any follower tells of the number of gateways. */
+	/** Records the number of gateways that a follower reports. */
 	noteCount({gatewayCount}: Pick<FollowerReport, 'gatewayCount'>): void {
 		this.#checkTerm();
 		this.#expectedCount = Math.max(this.#expectedCount, gatewayCount);
 	}
 
-	/** Takes a gateway's report in this leadership. */
+	/** Records that a gateway's session has sent a report in the current term. */
 	note(session: FollowerSession): void {
 		this.#checkTerm();
-		this.#gateways.set(session.vm, {session, isEnded: false});
+		this.#gateways.set(session.vm, {session, isSessionEnded: false});
 	}
 
-	/** Takes the end of a session; the gateway may go on until its lease is out. */
+	/** Records the end of a session. The gateway may keep sending requests until its lease expires. */
 	forget(session: FollowerSession): void {
 		const known = this.#gateways.get(session.vm);
 		if (known?.session === session) {
-			known.isEnded = true;
+			known.isSessionEnded = true;
 		}
 	}
 
 	/**
-	 * Whether a gateway may go by this leader's list: the leader has taken a report of it, and all gateways that followed an earlier leader have told this
-	 * one what they know, or are gone for long. Sessions that began before the leadership are sent news before that, and until a report has come
-	 * nothing tells how many gateways there are.
+	 * Returns true if a gateway may rely on this leader's quarantine list: the leader has received a report in the gateway's session, and all
+	 * gateways that followed an earlier leader have reported to this leader or have been absent for `ABSENCE_LIMIT_MS`. The session's own report
+	 * is required because sessions opened before the term receive updates before they report, and the leader learns the number of gateways
+	 * only from reports.
 	 */
 	isGranted(session: FollowerSession): boolean {
-		return this.#isComplete && this.#gateways.get(session.vm)?.session === session;
+		return this.#hasAllReports && this.#gateways.get(session.vm)?.session === session;
 	}
 
-	/** Whether some gateway may still send by what it knew before a version of the quarantine. */
+	/** Returns true if some gateway may still send requests according to a quarantine list older than a version. */
 	isUnaware(version: number): boolean {
 		this.#checkTerm();
 		const now = this.#parts.clock.now();
-		const isKnownUnaware = [...this.#gateways.values()].some(({session}) =>
+		const hasStaleSession = [...this.#gateways.values()].some(({session}) =>
 			now - session.heardAt <= CRASH_LEASE_MS && session.quarantineConfirmed < version);
-		return isKnownUnaware || this.#hasMissing(CRASH_LEASE_MS);
+		return hasStaleSession || this.#isReportMissing(CRASH_LEASE_MS);
 	}
 
 	/**
-	 * The crashes from which a request that had just begun at each is kept back for the moment, as each gateway that is away may have lost
-	 * one more upstream to it; undefined where none is away.
+	 * Number of crashes from which a request that had just started at each of them is paused, since each absent gateway may have lost one more
+	 * upstream to the request; undefined if no gateway is absent.
 	 */
 	get pausedCrashes(): number | undefined {
-		if (!this.#isComplete) {
-			// What the others told an earlier leader is not known here.
+		if (!this.#hasAllReports) {
+			// This leader does not know yet which crashes the missing gateways reported to an earlier leader.
 			return 1;
 		}
 
 		const now = this.#parts.clock.now();
-		const isAway = ({session: {heardAt}, isEnded}: KnownGateway): boolean => (isEnded || now - heardAt > CRASH_LEASE_MS) && now - heardAt <= AWAY_MS;
-		const awayCount = [...this.#gateways.values()].filter(gateway => isAway(gateway)).length;
-		return awayCount > 0 ? Math.max(1, BEGUN_CRASHES - awayCount) : undefined;
+		const isAbsent = ({session: {heardAt}, isSessionEnded}: KnownGateway): boolean => (isSessionEnded || now - heardAt > CRASH_LEASE_MS) && now - heardAt <= ABSENCE_LIMIT_MS;
+		const absentCount = [...this.#gateways.values()].filter(gateway => isAbsent(gateway)).length;
+		return absentCount > 0 ? Math.max(1, BEGUN_CRASHES - absentCount) : undefined;
 	}
 
-	get #isComplete(): boolean {
+	get #hasAllReports(): boolean {
 		this.#checkTerm();
-		return !this.#hasMissing(AWAY_MS);
+		return !this.#isReportMissing(ABSENCE_LIMIT_MS);
 	}
 
-	/** Whether gateways that followed an earlier leader may have told this one nothing yet, within a time of its begin. */
-	#hasMissing(withinMs: number): boolean {
-		return this.#gateways.size < this.#expectedCount && this.#parts.clock.now() - this.#ledSince <= withinMs;
+	/** Returns true if the term is at most this old and a gateway that followed an earlier leader has not reported yet. */
+	#isReportMissing(withinMs: number): boolean {
+		return this.#gateways.size < this.#expectedCount && this.#parts.clock.now() - this.#termStartedAt <= withinMs;
 	}
 
 	#checkTerm(): void {
 		const term = this.#parts.getTerm();
 		if (term !== this.#term) {
 			this.#term = term;
-			this.#ledSince = this.#parts.clock.now();
+			this.#termStartedAt = this.#parts.clock.now();
 			this.#expectedCount = 0;
 			this.#gateways.clear();
 		}
--- a/apps/valelead-daemon/src/control/get-progress.ts
+++ b/apps/valelead-daemon/src/control/get-progress.ts
@@ -1,5 +1,5 @@
 import type {FollowerReport} from '@valelead/protocol';
 import type {Progress} from './progress.js';
 
-/** What a follower's report says that it holds. */
+/** Returns the routing and directory versions that a follower reports. */
 export const getProgress = ({routingVersion, directoryEpoch, directoryVersion}: FollowerReport): Progress => ({routingVersion, epoch: directoryEpoch, directoryVersion});
--- a/apps/valelead-daemon/src/control/is-behind.ts
+++ b/apps/valelead-daemon/src/control/is-behind.ts
@@ -1,6 +1,6 @@
 import type {Progress} from './progress.js';
 
-/** Whether somebody lacks something of what is to be known. */
+/** Returns true if a follower's routing or directory version is older than the target, or its directory is of another epoch. */
 export const isBehind = (progress: Progress, target: Progress): boolean => {
 	const isDirectoryBehind = progress.epoch !== target.epoch || progress.directoryVersion < target.directoryVersion;
 	return isDirectoryBehind || progress.routingVersion < target.routingVersion;
--- a/apps/valelead-daemon/src/control/limit-registry.ts
+++ b/apps/valelead-daemon/src/control/limit-registry.ts
@@ -11,35 +11,44 @@
 
 type RegistryParts = {
 	readonly voter: {readonly node: {readonly term: number; readonly isCurrentLeader: boolean} | undefined};
-	/** Whether an upstream is in the directory. */
+	/** Returns true if an upstream is in the directory. */
 	readonly isAnnounced: (upstreamId: string) => boolean;
 	readonly clock: Clock;
 	readonly timers: TimerService;
 	readonly logger: Logger;
-	/** Hears of limits that gateways must learn at once. */
+	/** Called when limits change that must be sent to gateways immediately. */
 	readonly onChange: () => void;
 };
 
-/** How far requests may come in bursts: 0.9 of this is used, well within one and a half times the limit and 5 more in 4 s. */
+/**
+ * Burst tolerance of the loans for requests to a limited upstream. Of this tolerance 0.9 is used, which stays well below one and a half times the limit
+ * plus 5 requests in 4 s.
+ */
 const TOLERANCE: QuotaTolerance = {windowMs: 4000, overshoot: 0.25, slack: 3};
 
-/** An upstream gets this many requests a second though it takes fewer, as only an answer tells that its limit has ended. */
-const LEAST_PER_SECOND = 0.1;
+/** Minimum rate of requests per second to an upstream, even if its limit is lower: only its answers show that the limit no longer applies. */
+const MIN_PER_SECOND = 0.1;
 
-/** A limit of an upstream that does not announce itself is forgotten after this time, in milliseconds: a new leader hears of all upstreams by then. */
-const FORGET_MS = 10_000;
+/**
+ * A limit is removed if it is older than this time and its upstream is not in the directory, in milliseconds. All upstreams announce themselves to
+ * a new leader within this time.
+ */
+const EXPIRY_MS = 10_000;
 
-const CHECK_MS = 1000;
+const EXPIRY_CHECK_MS = 1000;
 
 const newQuota = (perSecond: number): Quota => ({
-	unit: QUOTA_UNIT.Request, perSecond: Math.max(LEAST_PER_SECOND, perSecond), burst: 0, plainTokens: 0,
+	unit: QUOTA_UNIT.Request, perSecond: Math.max(MIN_PER_SECOND, perSecond), burst: 0, plainTokens: 0,
 });
 
-/** Knows, as the leader, the limits that upstreams have named to any gateway, and lends gateways the requests that they may send there. */
+/**
+ * Collects the rate limits that upstreams have stated in answers to any gateway, and lends gateways the requests that they may send to those
+ * upstreams. Runs on the leader.
+ */
 export class LimitRegistry {
 	readonly #parts: RegistryParts;
 	readonly #loans: QuotaRegistry;
-	#book: LimitBook = new Map();
+	#limits: LimitBook = new Map();
 	#quotas: ReadonlyMap<string, Quota> = new Map();
 	#term = -1;
 	#version = 0;
@@ -51,80 +60,80 @@
 
 	start(): void {
 		this.#loans.start();
-		this.#parts.timers.repeat(CHECK_MS, now => {
-			this.#forget(now);
+		this.#parts.timers.repeat(EXPIRY_CHECK_MS, now => {
+			this.#removeExpired(now);
 		});
 	}
 
-	/** Changes with the limits, and with the leadership. */
+	/** Version of the limits. Increases when a limit changes and when a term starts. */
 	get version(): number {
-		this.#begin();
+		this.#checkTerm();
 		return this.#version;
 	}
 
 	get count(): number {
-		return this.#book.size;
+		return this.#limits.size;
 	}
 
-	/** Takes what a session tells of limits, and lends it what it asks for; undefined where it asks for nothing. */
+	/** Takes the limits and usage in a session's report. Returns the loans granted to the session; undefined if there are none. */
 	note(sessionId: string, {vm, limitSightings, limitUsages}: FollowerReport): Loan[] | undefined {
-		this.#begin();
+		this.#checkTerm();
 		const now = this.#parts.clock.now();
 		for (const {upstreamId, perSecond, ageMs} of limitSightings) {
-			this.#take(vm, {upstreamId, perSecond, at: now - ageMs});
+			this.#addSighting(vm, {upstreamId, perSecond, at: now - ageMs});
 		}
 
 		return this.#loans.note(sessionId, limitUsages);
 	}
 
-	/** All limits. */
+	/** Returns the message with all known limits. */
 	getList(): UpstreamLimits {
-		const limits = [...this.#book].map(([upstreamId, {perSecond}]) => create(UpstreamLimitSchema, {upstreamId, perSecond}));
+		const limits = [...this.#limits].map(([upstreamId, {perSecond}]) => create(UpstreamLimitSchema, {upstreamId, perSecond}));
 		return create(UpstreamLimitsSchema, {term: this.#term, limits});
 	}
 
-	/** What a session may send, with new loans; undefined where no upstream limits its requests. */
+	/** Returns the grant for a session, with its new loans; undefined if no upstream has a limit. */
 	newGrant(sessionId: string, loans?: readonly Loan[]): QuotaGrant | undefined {
 		return this.#loans.newGrant(sessionId, loans);
 	}
 
-	#take(vm: string, sighting: Parameters<typeof mutateNamedLimit>[1]): void {
+	#addSighting(vm: string, sighting: Parameters<typeof mutateNamedLimit>[1]): void {
 		const {upstreamId, perSecond} = sighting;
-		const before = this.#book.get(upstreamId)?.perSecond;
-		if (!mutateNamedLimit(this.#book, sighting)) {
+		const before = this.#limits.get(upstreamId)?.perSecond;
+		if (!mutateNamedLimit(this.#limits, sighting)) {
 			return;
 		}
 
 		this.#parts.logger.info({
 			event: 'upstream-limit', upstreamId, perSecond, before, toldBy: vm, seenMs: Math.round(this.#parts.clock.now() - sighting.at), term: this.#term,
-		}, 'an upstream names another limit');
+		}, 'upstream reported a changed rate limit');
 		this.#publish();
 	}
 
 	#publish(): void {
 		this.#version += 1;
-		this.#quotas = new Map([...this.#book].map(([upstreamId, {perSecond}]) => [upstreamId, newQuota(perSecond)]));
+		this.#quotas = new Map([...this.#limits].map(([upstreamId, {perSecond}]) => [upstreamId, newQuota(perSecond)]));
 		this.#parts.onChange();
 	}
 
-	/** A leadership begins with what gateways tell it; what this voter knew in an earlier one may have ended since. */
-	#begin(): void {
+	/** Clears the limits when the term changes: limits from an earlier term may have ended, and gateways report the current limits again. */
+	#checkTerm(): void {
 		const term = this.#parts.voter.node?.term ?? -1;
 		if (term !== this.#term) {
 			this.#term = term;
-			this.#book = new Map();
+			this.#limits = new Map();
 			this.#quotas = new Map();
 			this.#version += 1;
 		}
 	}
 
-	#forget(now: number): void {
-		const gone = [...this.#book].filter(([upstreamId, {namedAt}]) => now - namedAt > FORGET_MS && !this.#parts.isAnnounced(upstreamId));
-		for (const [upstreamId] of gone) {
-			this.#book.delete(upstreamId);
+	#removeExpired(now: number): void {
+		const expired = [...this.#limits].filter(([upstreamId, {namedAt}]) => now - namedAt > EXPIRY_MS && !this.#parts.isAnnounced(upstreamId));
+		for (const [upstreamId] of expired) {
+			this.#limits.delete(upstreamId);
 		}
 
-		if (gone.length > 0) {
+		if (expired.length > 0) {
 			this.#publish();
 		}
 	}
--- a/apps/valelead-daemon/src/control/new-listing.ts
+++ b/apps/valelead-daemon/src/control/new-listing.ts
@@ -11,7 +11,7 @@
 
 const toGib = (bytes: number): number => Math.round(bytes / BYTES_PER_GIB * 100) / 100;
 
-const getReady = (leader: Leader, unitKeys: readonly string[]): number => {
+const getReadyCount = (leader: Leader, unitKeys: readonly string[]): number => {
 	let ready = 0;
 	for (const {report} of leader.fleet.vms.values()) {
 		ready += report.units.filter(unit => unit.state === 'ready' && unitKeys.includes(unit.unit)).length;
@@ -20,7 +20,7 @@
 	return ready;
 };
 
-const getWhy = (granted: number, ready: number, waiting: number, isStopped: boolean): string => {
+const getModelStatus = (granted: number, ready: number, waiting: number, isStopped: boolean): string => {
 	if (isStopped) {
 		return 'stopped';
 	}
@@ -57,7 +57,7 @@
 	const units = model.versions.map(version => `${name}@${version}`);
 	const demands = getDemands(leader.fleet);
 	const granted = intent.grantsByOwner.get(name)?.length ?? 0;
-	const ready = getReady(leader, units);
+	const ready = getReadyCount(leader, units);
 	const waiting = units.reduce((sum, unit) => sum + (demands.get(unit)?.waiting ?? 0), 0);
 	return {
 		name,
@@ -70,7 +70,7 @@
 		ready,
 		waiting,
 		teams: model.teams.join(','),
-		why: getWhy(granted, ready, waiting, model.isStopped),
+		why: getModelStatus(granted, ready, waiting, model.isStopped),
 	};
 };
 
@@ -127,7 +127,10 @@
 	requests: (_voter, leader) => [...leader.fleet.vms.values()].flatMap(({report}) => report.units.map(unit => ({vm: report.vm, unit: unit.unit, inProgress: unit.inProgress}))),
 };
 
-/** All rows of a listing: what is intended beside what is actual. */
+/**
+ * Returns all rows of a listing, with the intended state next to the actual state.
+ * @throws ValeleadError with NotFound if there is no such listing.
+ */
 export const newListing = (voter: Voter, leader: Leader, name: string): Row[] => {
 	const listing = LISTINGS[name];
 	if (!listing) {
--- a/apps/valelead-daemon/src/control/new-placement-view.ts
+++ b/apps/valelead-daemon/src/control/new-placement-view.ts
@@ -13,7 +13,7 @@
 	readonly fleet: Fleet;
 	readonly membership: MembershipSettings;
 	readonly state: PlacementState;
-	/** Arrivals by unit since the last decision. */
+	/** Number of requests that arrived since the last placement decision, by unit. */
 	readonly arrivals: ReadonlyMap<string, number>;
 	readonly now: number;
 };
@@ -46,13 +46,13 @@
 	const {intent, fleet, membership, now} = parts;
 	const vm = intent.vms.get(name)!;
 	const report = fleet.vms.get(name)?.report;
-	const isOut = isDrained(intent, name);
-	const isKnown = report?.incarnation === vm.incarnation && isLive(fleet, membership, name, now);
+	const isVmDrained = isDrained(intent, name);
+	const isReporting = report?.incarnation === vm.incarnation && isLive(fleet, membership, name, now);
 	return {
 		name,
 		memoryBytes: vm.memoryBytes,
-		isOpen: isKnown && !isOut && !report.isLeaving && vm.service === '',
-		isDrained: isOut || (report?.isLeaving ?? false),
+		isOpen: isReporting && !isVmDrained && !report.isLeaving && vm.service === '',
+		isDrained: isVmDrained || (report?.isLeaving ?? false),
 		inProgress: report?.inProgress ?? 0,
 		capacity: report?.capacity ?? 1,
 		cached: new Set(report?.cached),
@@ -73,7 +73,7 @@
 	arrivals: parts.arrivals.get(unit.key) ?? 0,
 });
 
-/** What waits for an adapter waits for its model too. */
+/** Adds the demand for an adapter to its base model, as the adapter cannot be loaded without the model. */
 const addBaseDemand = (units: Map<string, PlacementUnit>, parts: ViewParts, adapter: PlacementUnit): void => {
 	const unit = getUnit(parts.intent, adapter.base);
 	if (!unit) {
@@ -105,7 +105,7 @@
 	return keys;
 };
 
-/** Puts the replicated intent and what the leader hears of VMs and entries into one view. */
+/** Combines the replicated intent with the reports of VMs and entries into the input for placement decisions. */
 export const newPlacementView = (parts: ViewParts): PlacementView => {
 	const demands = getDemands(parts.fleet);
 	const units = new Map<string, PlacementUnit>();
--- a/apps/valelead-daemon/src/control/order-leases.ts
+++ b/apps/valelead-daemon/src/control/order-leases.ts
@@ -22,7 +22,7 @@
 type LeasesParts = {
 	readonly voter: Voter;
 	readonly registry: UpstreamRegistry;
-	/** Services whose upstreams take orders. */
+	/** Returns the services whose upstreams are engines that accept load and unload orders. */
 	readonly getEngineServices: () => ReadonlySet<string>;
 	readonly settings: LeaseSettings;
 	readonly timers: TimerService;
@@ -30,13 +30,13 @@
 	readonly logger: Logger;
 };
 
-/** How often leases that ended are granted anew, in milliseconds: well below their length. */
+/** Interval at which expired leases are granted again, in milliseconds: well below the length of a lease. */
 const CHECK_MS = 250;
 
-/** Grants engines without a sidecar to processes that give them their orders, while this voter leads. */
+/** Grants leases on engines without a sidecar to processes that manage these engines. Active while this voter is the leader. */
 export class OrderLeases {
 	readonly #parts: LeasesParts;
-	/** Processes that can hold leases, by VM, with the address where gateways reach them. */
+	/** Processes that can hold leases, by VM, with the address at which gateways reach each process. */
 	readonly #candidates = new Map<string, LeaseCandidate & {readonly keeperAddress: string}>();
 	#state: LeaseState | undefined;
 
@@ -46,13 +46,13 @@
 
 	start(): void {
 		this.#parts.timers.repeat(CHECK_MS, () => {
-			this.#check();
+			this.#renewLeases();
 		});
 	}
 
 	/**
-	 * Takes what a follower tells of engines.
-	 * @param attendedEngines - All engines whose sidecars it has named in this session.
+	 * Takes the engines, ended leases and held leases in a follower's report.
+	 * @param attendedEngines - Addresses of all engines whose sidecars the follower has named in its session.
 	 */
 	note(report: FollowerReport, attendedEngines: Iterable<string>): void {
 		const state = this.#getState();
@@ -61,7 +61,7 @@
 		}
 
 		for (const address of attendedEngines) {
-			this.#noteAttended(state, address);
+			this.#noteSidecar(state, address);
 		}
 
 		for (const {engineAddress, agoMs} of report.endedLeases) {
@@ -77,12 +77,12 @@
 				held: report.leases.map(({engineAddress, fence, startsInMs}) => ({address: engineAddress, fence, startsInMs})),
 			};
 			this.#candidates.set(report.vm, candidate);
-			// At once, so that the reply to a holder's first report confirms what it holds.
+			// Renewed here and not in the next check, so that the reply to a holder's first report already confirms its leases.
 			mutateRenewed(state, candidate);
 		}
 	}
 
-	/** The leases of a VM, as it is told of them. */
+	/** Returns the leases of a VM in the form in which they are sent to it. */
 	getGrants(vm: string): Array<Pick<HeldLease, 'engineAddress' | 'fence' | 'startsInMs'>> {
 		const now = this.#parts.clock.now();
 		const state = this.#getState();
@@ -91,32 +91,32 @@
 			: [];
 	}
 
-	/** The VM whose process gives an engine its orders in place of a sidecar; undefined where none does. */
+	/** Returns the VM whose process manages an engine in place of a sidecar; undefined if no process holds a lease on the engine. */
 	getHolder(address: string): string | undefined {
 		return this.#getState()?.leases.get(address)?.vm;
 	}
 
-	/** How long the sidecars of these engines leave them to others, in milliseconds. */
+	/** Returns the time for which the sidecars of these engines must not send orders, as other processes may still hold leases, in milliseconds. */
 	getSidecarDelayMs(addresses: readonly string[]): number {
 		const {clock, settings} = this.#parts;
 		const state = this.#getState();
 		return state ? Math.max(0, ...addresses.map(address => getSidecarDelayMs(state, settings, address, clock.now()))) : 0;
 	}
 
-	/** Until it is known who held leases of earlier leaders, in milliseconds. */
+	/** Time until all holders of leases granted by earlier leaders are known, in milliseconds. */
 	get holdersKnownMs(): number {
 		const state = this.#getState();
 		return state ? getHoldersKnownMs(state, this.#parts.clock.now()) : 0;
 	}
 
-	/** Engines that no sidecar attends to and nobody holds a lease on; 0 where this voter does not lead. */
+	/** Number of engines without a sidecar and without a lease; 0 if this voter is not the leader. */
 	get unattendedCount(): number {
 		const state = this.#getState();
 		const isUnattended = (address: string): boolean => !state!.attended.has(address) && !state!.leases.has(address);
-		return state ? [...this.#getEngines()].filter(address => isUnattended(address)).length : 0;
+		return state ? [...this.#getEngineAddresses()].filter(address => isUnattended(address)).length : 0;
 	}
 
-	/** What is known since this voter leads; an earlier leadership's leases may have been granted to others since. */
+	/** Returns the lease state of the current term; undefined if this voter is not the leader. Leases of earlier terms may have new holders. */
 	#getState(): LeaseState | undefined {
 		const {node} = this.#parts.voter;
 		if (!node?.isCurrentLeader) {
@@ -131,7 +131,7 @@
 		return this.#state;
 	}
 
-	#noteAttended(state: LeaseState, address: string): void {
+	#noteSidecar(state: LeaseState, address: string): void {
 		if (state.attended.has(address)) {
 			return;
 		}
@@ -140,14 +140,14 @@
 		if (lease) {
 			this.#parts.logger.info({
 				event: 'engine-lease-ended', address, holder: lease.vm, reason: 'sidecar',
-			}, 'an engine is left to its sidecar');
+			}, 'lease ended; the sidecar manages the engine');
 		}
 
 		state.attended.add(address);
 		this.#parts.registry.setKeeper(address, '');
 	}
 
-	#check(): void {
+	#renewLeases(): void {
 		const state = this.#getState();
 		if (!state) {
 			return;
@@ -155,10 +155,10 @@
 
 		const {registry, settings, clock} = this.#parts;
 		const now = clock.now();
-		this.#dropSilent(now);
-		const granted = mutateLeases(state, settings, {addresses: this.#getEngines(), candidates: [...this.#candidates.values()]}, now);
+		this.#removeSilentCandidates(now);
+		const granted = mutateLeases(state, settings, {addresses: this.#getEngineAddresses(), candidates: [...this.#candidates.values()]}, now);
 		for (const lease of granted) {
-			this.#log(lease, now);
+			this.#logGranted(lease, now);
 		}
 
 		for (const {address, vm} of state.leases.values()) {
@@ -166,8 +166,8 @@
 		}
 	}
 
-	/** A process that is silent for long holds nothing any more. */
-	#dropSilent(now: number): void {
+	/** Removes processes whose last report is older than two lease times: all their leases have expired. */
+	#removeSilentCandidates(now: number): void {
 		for (const [vm, {heardAt}] of this.#candidates) {
 			if (now - heardAt > 2 * ORDER_LEASE_MS) {
 				this.#candidates.delete(vm);
@@ -175,16 +175,16 @@
 		}
 	}
 
-	/** The addresses of engines that take orders. */
-	#getEngines(): ReadonlySet<string> {
+	/** Returns the addresses of all engines that accept orders. */
+	#getEngineAddresses(): ReadonlySet<string> {
 		const services = this.#parts.getEngineServices();
 		const upstreams = [...this.#parts.registry.directory.entries.values()].map(entry => entry.upstream);
 		return new Set(upstreams.filter(({service, state}) => services.has(service) && state !== UPSTREAM_STATE.Gone).map(({address}) => address));
 	}
 
-	#log({address, vm, fence, startsAt}: OrderLease, now: number): void {
+	#logGranted({address, vm, fence, startsAt}: OrderLease, now: number): void {
 		this.#parts.logger.info({
 			event: 'engine-lease-granted', address, holder: vm, fence, startsInMs: Math.round(startsAt - now),
-		}, 'an engine without a sidecar is given to a process');
+		}, 'lease granted on an engine without a sidecar');
 	}
 }
--- a/apps/valelead-daemon/src/control/progress.ts
+++ b/apps/valelead-daemon/src/control/progress.ts
@@ -1,6 +1,6 @@
 import type {DirectoryProgress} from './directory-progress.js';
 
-/** What a follower holds of the routing and the directory. */
+/** Versions of the routing and the directory that a follower has or should have. */
 export type Progress = DirectoryProgress & {
 	readonly routingVersion: number;
 };
--- a/apps/valelead-daemon/src/control/quarantine-log.ts
+++ b/apps/valelead-daemon/src/control/quarantine-log.ts
@@ -1,6 +1,6 @@
 import type {CommandResult, Intent, Proposal} from '@valelead/intent';
 
-/** The log that judgements are committed to, as far as the judgement needs it; a voter is one. */
+/** The part of a voter that the quarantine registry uses: the replicated log to which quarantine decisions are committed. */
 export type QuarantineLog = {
 	readonly node: {readonly term: number; readonly isCurrentLeader: boolean} | undefined;
 	readonly machine: {
--- a/apps/valelead-daemon/src/control/quarantine-registry.ts
+++ b/apps/valelead-daemon/src/control/quarantine-registry.ts
@@ -16,144 +16,145 @@
 	readonly clock: Clock;
 	readonly timers: TimerService;
 	readonly logger: Logger;
-	/** The crashes from which a request is kept back while gateways are away; undefined where none is. */
+	/** Returns the number of crashes from which a request is paused while gateways are absent; undefined if no gateway is absent. */
 	readonly getPausedCrashes: () => number | undefined;
-	/** Hears of changes that gateways must learn at once. */
+	/** Called when the list changes in a way that must be sent to gateways immediately. */
 	readonly onChange: () => void;
 };
 
-/** A judgement of this leadership. */
-type Judgement = {
-	/** In monotonic milliseconds. */
+/** A decision of the current term to quarantine a request. */
+type Decision = {
+	/** Time of the decision, in monotonic milliseconds. */
 	readonly at: number;
-	/** Resolves once it is committed or refused. */
+	/** Resolves once the decision is committed or refused. */
 	readonly proposed: Promise<void>;
 };
 
-type CrashNews = Pick<FollowerReport, 'vm' | 'crashes' | 'served'>;
+type CrashReport = Pick<FollowerReport, 'vm' | 'crashes' | 'served'>;
 
-type MadeList = {
+type CachedList = {
 	readonly list: QuarantineList | undefined;
 	readonly version: number;
 	readonly at: number;
 };
 
-const EXPIRY_MS = 1000;
+const EXPIRY_CHECK_MS = 1000;
 
-/** The list is made once for all gateways and not older than this when it is sent, in milliseconds; the rest of a quarantine is told that exactly. */
-const LIST_MS = 1000;
+/** Maximum age of the list that is shared by all gateways, in milliseconds. The remaining time of a quarantine is accurate to this time. */
+const LIST_CACHE_MS = 1000;
 
-/** How long followers are told that a request is released, in milliseconds: some heartbeats of one that is cut off for a while. */
-const RELEASED_TOLD_MS = 60_000;
+/** Time for which a released request stays on the list, in milliseconds. Followers that return from a short network partition still receive it. */
+const RELEASED_LISTED_MS = 60_000;
 
 /**
- * A judgement may be taken back for less blame within this time, in milliseconds: gateways that were suspended or cut off have told their crashes by then,
- * and none that it rests on has been forgotten.
+ * Time within which a quarantine decision can be revoked because its evidence became weaker, in milliseconds. Gateways that were suspended or
+ * partitioned have reported their crashes by then, and none of the crashes behind the decision has been removed from the ledger.
  */
-const REVISED_MS = 60_000;
+const REVOCATION_WINDOW_MS = 60_000;
 
-/** Requests that one line of the log names. */
-const MAX_LOGGED = 8;
+/** Maximum number of request fingerprints in one log line. */
+const MAX_LOGGED_FINGERPRINTS = 8;
 
 const toBytes = (fingerprint: string): Uint8Array => Buffer.from(fingerprint, 'hex');
 
 /**
- * Judges, as the leader, which requests crash upstreams, from what all gateways tell. Judgements are committed, so that they outlive every process;
- * what they rest on is told anew by the gateways after a change of leader.
+ * Decides from the crash reports of all gateways which requests crash upstreams, and quarantines them. Runs on the leader. Decisions are
+ * committed to the replicated log, so they survive the loss of any process. Their evidence is not replicated: gateways report it again after a
+ * change of leader.
  */
 export class QuarantineRegistry {
 	readonly #parts: RegistryParts;
-	readonly #intake: CrashCollector;
+	readonly #collector: CrashCollector;
 	#term = -1;
 	#version = 1;
-	/** Since when this voter knows of each quarantine, in monotonic milliseconds. */
-	readonly #knownSince = new Map<string, number>();
-	/** Requests that were released, and when. */
+	/** Time at which this voter learned of each quarantine, in monotonic milliseconds, by fingerprint. */
+	readonly #quarantinedAt = new Map<string, number>();
+	/** Time at which each released request was released, in monotonic milliseconds, by fingerprint. */
 	readonly #released = new Map<string, number>();
-	/** Quarantines that this voter ends as their time is over. */
+	/** Fingerprints of quarantines whose time is over and whose release this voter has proposed. */
 	readonly #expiring = new Set<string>();
-	/** The list that was made last. */
-	#made: MadeList = {list: undefined, version: 0, at: 0};
-	/** The suspected requests when the list last changed for them. */
+	/** The list that was built last, with its version and time. */
+	#cachedList: CachedList = {list: undefined, version: 0, at: 0};
+	/** Suspected requests in the current version of the list. */
 	#suspected: readonly string[] = [];
-	/** The requests that are kept back while gateways are away, when the list last changed for them. */
+	/** Requests that the current version of the list holds back while gateways are absent. */
 	#paused: readonly string[] = [];
-	/** Judgements of this leadership that were not taken back. */
-	readonly #judged = new Map<string, Judgement>();
-	/** The committed quarantines that this voter has taken. */
+	/** Decisions of the current term that have not been revoked, by fingerprint. */
+	readonly #decisions = new Map<string, Decision>();
+	/** Fingerprints of the committed quarantines that this voter has applied. */
 	#committed: ReadonlySet<string> = new Set();
 
 	constructor(parts: RegistryParts) {
 		this.#parts = parts;
-		this.#intake = new CrashCollector({
+		this.#collector = new CrashCollector({
 			...parts,
 			onCrash: (vm, runId) => {
 				this.#logCrash(vm, runId);
 			},
-			onSettled: fingerprints => {
-				this.#judge(fingerprints);
+			onComplete: fingerprints => {
+				this.#quarantineIfLeading(fingerprints);
 			},
 		});
 	}
 
-	/** Rises with each change of the list. */
+	/** Version of the list. Increases with each change of the list. */
 	get version(): number {
 		return this.#version;
 	}
 
 	start(): void {
-		this.#takeCommitted();
+		this.#applyCommitted();
 		this.#parts.voter.machine.subscribe(() => {
-			this.#takeCommitted();
+			this.#applyCommitted();
 		});
-		this.#parts.timers.repeat(EXPIRY_MS, now => {
+		this.#parts.timers.repeat(EXPIRY_CHECK_MS, now => {
 			this.#expire(now);
 		});
 	}
 
-	/** Takes what a gateway tells of crashes, and of suspected requests that were answered. */
-	note({vm, crashes, served}: CrashNews): void {
+	/** Takes the crashes and the answered suspected requests in a gateway's report. */
+	note({vm, crashes, served}: CrashReport): void {
 		this.#checkTerm();
-		const news = this.#intake.note(vm, crashes.map(message => decodeCrash(message)));
+		const changed = this.#collector.addReport(vm, crashes.map(message => decodeCrash(message)));
 		for (const fingerprint of served) {
-			this.#clear(Buffer.from(fingerprint).toString('hex'));
+			this.#clearAnswered(Buffer.from(fingerprint).toString('hex'));
 		}
 
-		if (news.size > 0) {
-			// What is taken back no longer explains the crashes, so its neighbours there are judged anew.
-			this.#quarantineBlamed(this.#revise() ? [...this.#ledger.runsBySuspect.keys()] : [...news]);
+		if (changed.size > 0) {
+			// A revoked request no longer explains its crashes, so the other requests at these crashes are evaluated again.
+			this.#quarantineSuspects(this.#revokeUnproven() ? [...this.#ledger.runsBySuspect.keys()] : [...changed]);
 		}
 	}
 
-	/** Takes that gateways have left or come back. */
+	/** Updates the paused requests after gateways have become absent or have returned. */
 	notePaused(): void {
 		this.#checkTerm();
-		if (this.#takePaused()) {
-			this.#change();
+		if (this.#updatePaused()) {
+			this.#publishChange();
 		}
 	}
 
-	/** All that a gateway has to know. */
+	/** Returns the quarantine list for gateways. */
 	getList(): QuarantineList {
 		const now = this.#parts.clock.now();
-		const {list, version, at} = this.#made;
-		if (list && version === this.#version && now - at < LIST_MS) {
+		const {list, version, at} = this.#cachedList;
+		if (list && version === this.#version && now - at < LIST_CACHE_MS) {
 			return list;
 		}
 
-		const made = this.#newList(now);
-		this.#made = {list: made, version: this.#version, at: now};
-		return made;
+		const newList = this.#newList(now);
+		this.#cachedList = {list: newList, version: this.#version, at: now};
+		return newList;
 	}
 
 	get #ledger(): CrashLedger {
-		return this.#intake.ledger;
+		return this.#collector.ledger;
 	}
 
-	/** Judges by a timer; this voter may not lead any more. */
-	#judge(fingerprints: readonly string[]): void {
+	/** Quarantines requests from a timer callback. Checks for leadership first, as it may have been lost since the timer was set. */
+	#quarantineIfLeading(fingerprints: readonly string[]): void {
 		if (this.#parts.voter.node?.isCurrentLeader) {
-			this.#quarantineBlamed(fingerprints);
+			this.#quarantineSuspects(fingerprints);
 		}
 	}
 
@@ -162,7 +163,7 @@
 		return create(QuarantineListSchema, {
 			version: this.#version,
 			quarantined: [...fingerprints].map(fingerprint => ({
-				fingerprint: toBytes(fingerprint), remainingMs: Math.max(0, (this.#knownSince.get(fingerprint) ?? now) + QUARANTINE_MS - now),
+				fingerprint: toBytes(fingerprint), remainingMs: Math.max(0, (this.#quarantinedAt.get(fingerprint) ?? now) + QUARANTINE_MS - now),
 			})),
 			suspected: getSuspected(this.#ledger).map(fingerprint => toBytes(fingerprint)),
 			released: [...this.#released.keys()].map(fingerprint => toBytes(fingerprint)),
@@ -170,45 +171,45 @@
 		});
 	}
 
-	/** A request that an upstream answered whole crashes none; a judgement that says otherwise is taken back. */
-	#clear(fingerprint: string): void {
+	/** Clears a request that an upstream has answered completely, as such a request crashes no upstream, and revokes its quarantine. */
+	#clearAnswered(fingerprint: string): void {
 		const wasBlamed = mutateServed(this.#ledger, fingerprint, this.#parts.clock.now());
-		if ((this.#committed.has(fingerprint) || this.#judged.has(fingerprint)) && !this.#expiring.has(fingerprint)) {
-			this.#parts.logger.warn({event: 'quarantine-revised', fingerprint}, 'a quarantined request was answered whole, so it is released');
-			void this.#takeBack(fingerprint);
+		if ((this.#committed.has(fingerprint) || this.#decisions.has(fingerprint)) && !this.#expiring.has(fingerprint)) {
+			this.#parts.logger.warn({event: 'quarantine-revised', fingerprint}, 'releasing a quarantined request: an upstream answered it completely');
+			void this.#revoke(fingerprint);
 		}
 
 		if (wasBlamed) {
-			this.#parts.logger.info({event: 'request-cleared', fingerprint}, 'a request that was blamed for crashes was answered whole');
-			this.#change();
+			this.#parts.logger.info({event: 'request-cleared', fingerprint}, 'cleared a suspected request: an upstream answered it completely');
+			this.#publishChange();
 		}
 	}
 
-	#quarantineBlamed(fingerprints: readonly string[]): void {
+	#quarantineSuspects(fingerprints: readonly string[]): void {
 		const now = this.#parts.clock.now();
 		const quarantined = mutateQuarantined(this.#ledger, fingerprints);
 		for (const fingerprint of quarantined) {
 			const upstreams = [...this.#ledger.runsBySuspect.get(fingerprint) ?? []];
-			this.#knownSince.set(fingerprint, now);
+			this.#quarantinedAt.set(fingerprint, now);
 			this.#released.delete(fingerprint);
-			this.#logEvidence('request-quarantined', fingerprint, 'a request under which upstreams crashed is kept from others');
+			this.#logEvidence('request-quarantined', fingerprint, 'quarantined a request that crashed upstreams');
 			const proposed = this.#propose({
 				kind: 'quarantineRequest', name: fingerprint, upstreams, judgedAt: this.#parts.clock.wallNow(),
 			});
-			this.#judged.set(fingerprint, {at: now, proposed});
+			this.#decisions.set(fingerprint, {at: now, proposed});
 		}
 
-		// Gateways confirm each change of the list, so it changes with its content only.
+		// Gateways must confirm each version of the list, so the version changes only if the content does.
 		const suspected = getSuspected(this.#ledger);
-		const isPausedNew = this.#takePaused();
-		if (quarantined.length > 0 || isPausedNew || suspected.join(',') !== this.#suspected.join(',')) {
+		const isPausedChanged = this.#updatePaused();
+		if (quarantined.length > 0 || isPausedChanged || suspected.join(',') !== this.#suspected.join(',')) {
 			this.#suspected = suspected;
-			this.#change();
+			this.#publishChange();
 		}
 	}
 
-	/** Works out anew which requests are kept back while gateways are away; returns whether they are others than before. */
-	#takePaused(): boolean {
+	/** Updates the requests that are held back while gateways are absent. Returns true if they changed. */
+	#updatePaused(): boolean {
 		const leastCrashes = this.#parts.getPausedCrashes();
 		const paused = leastCrashes === undefined ? [] : getPaused(this.#ledger, leastCrashes);
 		if (paused.join(',') === this.#paused.join(',')) {
@@ -218,46 +219,46 @@
 		this.#paused = paused;
 		this.#parts.logger.info(
 			{
-				event: 'requests-paused', count: paused.length, leastCrashes, fingerprints: paused.slice(0, MAX_LOGGED),
+				event: 'requests-paused', count: paused.length, leastCrashes, fingerprints: paused.slice(0, MAX_LOGGED_FINGERPRINTS),
 			},
-			'requests that had begun at crashes are kept back while gateways are away',
+			'the set of requests paused while gateways are absent has changed',
 		);
 		return true;
 	}
 
 	/**
-	 * Takes judgements of this leadership back that rested on a part of what gateways saw: they tell their crashes one after the other, and a new leader
-	 * hears of all of them anew. Returns whether there were any.
+	 * Revokes the decisions of the current term that later reports no longer support. Decisions can rest on incomplete evidence, since gateways
+	 * report one after another and report all their crashes again to a new leader. Returns true if a decision was revoked.
 	 */
-	#revise(): boolean {
-		let isRevised = false;
+	#revokeUnproven(): boolean {
+		let isAnyRevoked = false;
 		const now = this.#parts.clock.now();
-		for (const [fingerprint, {at}] of this.#judged) {
-			if (now - at < REVISED_MS && isUnproven(this.#ledger, fingerprint)) {
-				this.#logEvidence('quarantine-revised', fingerprint, 'a quarantined request is blamed for less than before, so it is released');
+		for (const [fingerprint, {at}] of this.#decisions) {
+			if (now - at < REVOCATION_WINDOW_MS && isUnproven(this.#ledger, fingerprint)) {
+				this.#logEvidence('quarantine-revised', fingerprint, 'releasing a quarantined request: later crash reports weakened the evidence');
 				this.#ledger.quarantined.delete(fingerprint);
-				void this.#takeBack(fingerprint);
-				isRevised = true;
+				void this.#revoke(fingerprint);
+				isAnyRevoked = true;
 			}
 		}
 
-		return isRevised;
+		return isAnyRevoked;
 	}
 
-	async #takeBack(fingerprint: string): Promise<void> {
-		await this.#judged.get(fingerprint)?.proposed;
-		this.#judged.delete(fingerprint);
+	async #revoke(fingerprint: string): Promise<void> {
+		await this.#decisions.get(fingerprint)?.proposed;
+		this.#decisions.delete(fingerprint);
 		await this.#propose({kind: 'releaseRequest', name: fingerprint});
 	}
 
-	/** Follows the committed judgements, an operator's releases among them. */
-	#takeCommitted(): void {
+	/** Applies the committed quarantines and releases, including the releases made by an operator. */
+	#applyCommitted(): void {
 		const {quarantines} = this.#parts.voter.machine.intent;
 		const now = this.#parts.clock.now();
-		const known = [...this.#knownSince.keys()];
+		const known = [...this.#quarantinedAt.keys()];
 		for (const fingerprint of quarantines.keys()) {
-			if (!this.#knownSince.has(fingerprint)) {
-				this.#knownSince.set(fingerprint, now);
+			if (!this.#quarantinedAt.has(fingerprint)) {
+				this.#quarantinedAt.set(fingerprint, now);
 				this.#released.delete(fingerprint);
 				this.#ledger.quarantined.add(fingerprint);
 				this.#version += 1;
@@ -276,17 +277,17 @@
 
 	#release(fingerprint: string, now: number): void {
 		const isExpired = this.#expiring.delete(fingerprint);
-		this.#judged.delete(fingerprint);
-		this.#knownSince.delete(fingerprint);
+		this.#decisions.delete(fingerprint);
+		this.#quarantinedAt.delete(fingerprint);
 		mutateReleased(this.#ledger, fingerprint, isExpired);
 		this.#released.set(fingerprint, now);
-		this.#parts.logger.info({event: 'request-released', fingerprint, isExpired}, 'a quarantined request may be sent again');
-		this.#change();
+		this.#parts.logger.info({event: 'request-released', fingerprint, isExpired}, 'quarantine of a request ended');
+		this.#publishChange();
 	}
 
 	#expire(now: number): void {
 		for (const [fingerprint, at] of this.#released) {
-			if (now - at > RELEASED_TOLD_MS) {
+			if (now - at > RELEASED_LISTED_MS) {
 				this.#released.delete(fingerprint);
 			}
 		}
@@ -297,7 +298,7 @@
 		}
 
 		this.#checkTerm();
-		for (const [fingerprint, since] of this.#knownSince) {
+		for (const [fingerprint, since] of this.#quarantinedAt) {
 			if (now - since > QUARANTINE_MS && this.#committed.has(fingerprint) && !this.#expiring.has(fingerprint)) {
 				this.#expiring.add(fingerprint);
 				void this.#propose({kind: 'releaseRequest', name: fingerprint});
@@ -312,26 +313,26 @@
 			if (code !== RESULT_CODE.Ok) {
 				logger.warn({
 					event: 'quarantine-refused', command: command.kind, code, reason: message,
-				}, 'a change of the quarantine was refused');
+				}, 'quarantine command was refused');
 			}
 		} catch (error) {
-			logger.warn({event: 'quarantine-not-committed', command: command.kind, reason: (error as Error).message}, 'a change of the quarantine was not committed');
+			logger.warn({event: 'quarantine-not-committed', command: command.kind, reason: (error as Error).message}, 'quarantine command was not committed');
 		}
 	}
 
-	/** What an earlier leadership heard is dropped: another leader may have heard more since, and gateways tell theirs again. */
+	/** Discards the evidence when the term changes: another leader may have received more, and gateways report their crashes again. */
 	#checkTerm(): void {
 		const term = this.#parts.voter.node?.term ?? 0;
 		if (term !== this.#term) {
 			this.#term = term;
-			this.#intake.begin();
+			this.#collector.startTerm();
 			for (const fingerprint of this.#committed) {
 				this.#ledger.quarantined.add(fingerprint);
 			}
 
 			this.#expiring.clear();
-			this.#judged.clear();
-			this.#change();
+			this.#decisions.clear();
+			this.#publishChange();
 		}
 	}
 
@@ -347,10 +348,10 @@
 		const record = this.#ledger.crashes.get(runId);
 		this.#parts.logger.info({
 			event: 'crash-noted', vm, upstreamId: runId, suspects: record?.suspects.size, crashes: this.#ledger.crashes.size,
-		}, 'a gateway tells of a crashed upstream');
+		}, 'gateway reported an upstream crash');
 	}
 
-	#change(): void {
+	#publishChange(): void {
 		this.#version += 1;
 		this.#parts.onChange();
 	}
--- a/apps/valelead-daemon/src/control/quarantine-rollout.ts
+++ b/apps/valelead-daemon/src/control/quarantine-rollout.ts
@@ -6,36 +6,37 @@
 	readonly clock: Clock;
 	readonly timers: TimerService;
 	readonly isLeading: () => boolean;
-	/** The version of the quarantine that gateways are to obey. */
+	/** Returns the version of the quarantine list that gateways must apply. */
 	readonly getVersion: () => number;
-	/** The sessions of gateways with this voter. */
+	/** Returns the gateway sessions with this voter. */
 	readonly getGateways: () => readonly FollowerSession[];
-	/** Whether some gateway may still send by what it knew before a version, heard or not. */
+	/** Returns true if some gateway, reachable or not, may still send requests according to a list older than a version. */
 	readonly isUnaware: (version: number) => boolean;
-	/** Hears of a session whose crashes are known to more gateways. */
+	/** Called when more gateways have applied the consequences of the crashes that a session reported. */
 	readonly onKnown: (session: FollowerSession) => void;
 };
 
-/** A report of crashes whose consequences some gateways may not know. */
+/** A crash report whose resulting quarantine list some gateways may not have applied. */
 type PendingReport = {
 	readonly sentAt: number;
-	/** The version of the quarantine that it led to. */
+	/** Version of the quarantine list that resulted from the report. */
 	readonly version: number;
 	readonly since: number;
-	/** Whether the gateways that are heard know. */
-	isKnown: boolean;
+	/** True once all reachable gateways have confirmed the version, or the wait for them has ended. */
+	isAcknowledged: boolean;
 };
 
-/** A gateway that was silent for longer is not waited for, in milliseconds: two heartbeats. */
+/** The rollout does not wait for a gateway that has sent no report for this time: two heartbeats, in milliseconds. */
 const GATEWAY_SILENCE_MS = 1000;
 
-/** The longest wait for gateways, in milliseconds: the request that lost its upstream waits too. */
-const CONFIRM_MS = 250;
+/** Maximum wait for the confirmations of gateways, in milliseconds. The request that lost its upstream waits for the same time. */
+const MAX_CONFIRM_MS = 250;
 
 /**
- * Follows how what a gateway tells of crashes spreads to all gateways, so that it need not answer a caller whose next try another one would send. What merely
- * waited at a crash is answered once the gateways that are heard know, within a short time. What had just begun there waits until no gateway can send it
- * without knowing, by the gateways' leases.
+ * Tracks when all gateways have applied the consequences of a crash report. The reporting gateway holds the caller's error back until then;
+ * otherwise the caller's retry could reach a gateway that does not know of the crash. Requests that only waited at the crashed upstream are
+ * answered once all reachable gateways have confirmed, after at most `MAX_CONFIRM_MS`. Requests that had just started there are answered once
+ * the leases of the gateways rule out that any gateway sends them without knowing of the crash.
  */
 export class QuarantineRollout {
 	readonly #parts: RolloutParts;
@@ -45,15 +46,15 @@
 		this.#parts = parts;
 	}
 
-	/** Takes a report once the judgement has heard of its crashes. */
+	/** Takes a report. Must be called after the quarantine registry has taken the crashes of the report. */
 	note(session: FollowerSession, {sentAt, crashes}: FollowerReport): void {
 		if (crashes.length > 0) {
 			const now = this.#parts.clock.now();
 			const since = this.#pending.get(session)?.since ?? now;
 			this.#pending.set(session, {
-				sentAt, version: this.#parts.getVersion(), since, isKnown: false,
+				sentAt, version: this.#parts.getVersion(), since, isAcknowledged: false,
 			});
-			this.#parts.timers.after(CONFIRM_MS, () => {
+			this.#parts.timers.after(MAX_CONFIRM_MS, () => {
 				this.settle();
 			});
 		}
@@ -61,7 +62,7 @@
 		this.settle();
 	}
 
-	/** Takes that gateways have told more, or that one has left. */
+	/** Checks the pending reports again after a gateway has sent a confirmation or ended its session. */
 	settle(): void {
 		if (!this.#parts.isLeading()) {
 			this.#pending.clear();
@@ -69,7 +70,7 @@
 		}
 
 		for (const [session, report] of this.#pending) {
-			this.#settleReport(session, report);
+			this.#checkReport(session, report);
 		}
 	}
 
@@ -78,27 +79,27 @@
 		this.settle();
 	}
 
-	#settleReport(session: FollowerSession, report: PendingReport): void {
-		const isObeyed = !this.#parts.isUnaware(report.version);
-		const isNews = !report.isKnown && (isObeyed || this.#isKnown(report));
-		if (isNews) {
-			report.isKnown = true;
+	#checkReport(session: FollowerSession, report: PendingReport): void {
+		const isApplied = !this.#parts.isUnaware(report.version);
+		const isNewlyAcknowledged = !report.isAcknowledged && (isApplied || this.#isAcknowledged(report));
+		if (isNewlyAcknowledged) {
+			report.isAcknowledged = true;
 			session.crashesKnownUntil = report.sentAt;
 		}
 
-		if (isObeyed) {
+		if (isApplied) {
 			this.#pending.delete(session);
 			session.crashesObeyedUntil = report.sentAt;
 		}
 
-		if (isNews || isObeyed) {
+		if (isNewlyAcknowledged || isApplied) {
 			this.#parts.onKnown(session);
 		}
 	}
 
-	#isKnown({version, since}: PendingReport): boolean {
+	#isAcknowledged({version, since}: PendingReport): boolean {
 		const now = this.#parts.clock.now();
 		const isBehind = ({heardAt, quarantineConfirmed}: FollowerSession): boolean => now - heardAt <= GATEWAY_SILENCE_MS && quarantineConfirmed < version;
-		return now - since >= CONFIRM_MS || !this.#parts.getGateways().some(gateway => isBehind(gateway));
+		return now - since >= MAX_CONFIRM_MS || !this.#parts.getGateways().some(gateway => isBehind(gateway));
 	}
 }
--- a/apps/valelead-daemon/src/control/query-rows.ts
+++ b/apps/valelead-daemon/src/control/query-rows.ts
@@ -6,7 +6,7 @@
 import type {Leader} from './leader.js';
 import type {Voter} from './voter.js';
 
-/** The rows that a statement asks for. */
+/** Returns the rows that answer a show or explain statement. */
 export const queryRows = (voter: Voter, leader: Leader, statement: Show | Explain): Row[] => {
 	if (statement.kind === 'explain') {
 		return explainModel(voter, leader, statement.model);
--- a/apps/valelead-daemon/src/control/quota-registry.ts
+++ b/apps/valelead-daemon/src/control/quota-registry.ts
@@ -7,24 +7,24 @@
 
 type RegistryParts = {
 	readonly voter: {readonly node: {readonly term: number; readonly isCurrentLeader: boolean} | undefined};
-	/** The quotas in force by team; the same object until they change. */
+	/** Returns the quotas in force by team. Returns the same object until the quotas change. */
 	readonly getQuotas: () => ReadonlyMap<string, Quota>;
 	readonly tolerance: QuotaTolerance;
 	readonly clock: Clock;
 	readonly timers: TimerService;
 };
 
-/** The ledger of one leadership. */
+/** Ledger of the loans granted in one term. */
 type TermLedger = {
 	readonly term: number;
 	readonly ledger: QuotaLedger;
 	quotas: ReadonlyMap<string, Quota> | undefined;
 };
 
-/** How often loans of silent gateways are ended, in milliseconds: well below the time of a loan. */
-const CHECK_MS = 250;
+/** Interval at which the loans of silent gateways are ended, in milliseconds: well below the lifetime of a loan. */
+const LOSS_CHECK_MS = 250;
 
-/** Lends gateways, as the leader, what teams may ask. */
+/** Lends gateways parts of the teams' quotas. Runs on the leader. */
 export class QuotaRegistry {
 	readonly #parts: RegistryParts;
 	#state: TermLedger | undefined;
@@ -34,7 +34,7 @@
 	}
 
 	start(): void {
-		this.#parts.timers.repeat(CHECK_MS, now => {
+		this.#parts.timers.repeat(LOSS_CHECK_MS, now => {
 			const state = this.#getState();
 			if (state) {
 				mutateLostLoans(state.ledger, now);
@@ -42,7 +42,7 @@
 		});
 	}
 
-	/** Takes what a session tells, and lends it what it asks for; undefined where it asks for nothing. */
+	/** Takes the usage in a session's report. Returns the loans granted to the session; undefined if there are none. */
 	note(sessionId: string, usages: readonly QuotaUsage[]): Loan[] | undefined {
 		const state = this.#getState();
 		if (!state || usages.length === 0) {
@@ -60,7 +60,10 @@
 		return loans.length > 0 ? loans : undefined;
 	}
 
-	/** What a session is told now, which confirms all that it holds; undefined where no team has a quota or this voter does not lead. */
+	/**
+	 * Returns the grant to send to a session. The grant confirms all loans that the session holds. Returns undefined if no quota exists or this
+	 * voter is not the leader.
+	 */
 	newGrant(sessionId: string, loans: readonly Loan[] = []): QuotaGrant | undefined {
 		const state = this.#getState();
 		if (!state || state.ledger.accounts.size === 0) {
@@ -72,13 +75,16 @@
 		return create(QuotaGrantSchema, {term: state.term, loans: [...loans], scarceSubjects: getScarceSubjects(state.ledger, now)});
 	}
 
-	/** What teams may still use, and what is lent of it. */
+	/** Remaining quota of each team, and the amount currently lent to gateways. */
 	get levels(): ReadonlyArray<{readonly team: string; readonly level: number; readonly lent: number}> {
 		const accounts = this.#getState()?.ledger.accounts ?? new Map<string, never>();
 		return [...accounts].map(([team, {level, lent}]) => ({team, level, lent}));
 	}
 
-	/** What was lent under an earlier term ends by itself, as its leader cannot confirm it any more. */
+	/**
+	 * Returns the ledger of the current term; undefined if this voter is not the leader. Loans of an earlier term expire, as the leader of that
+	 * term can no longer confirm them.
+	 */
 	#getState(): TermLedger | undefined {
 		const {voter: {node}, tolerance, clock, getQuotas} = this.#parts;
 		if (!node?.isCurrentLeader) {
--- a/apps/valelead-daemon/src/control/routing-rollout.ts
+++ b/apps/valelead-daemon/src/control/routing-rollout.ts
@@ -7,30 +7,30 @@
 	readonly timers: TimerService;
 	readonly logger: Logger;
 	/**
-	 * Hears for how long a follower obeyed an older routing.
-	 * @param lagMs - From the commit of the first version that it lacked, in milliseconds.
+	 * Called with the time for which a follower used an outdated routing.
+	 * @param lagMs - Time since the commit of the first version that the follower lacked, in milliseconds.
 	 */
 	readonly onConfirmed: (role: string, lagMs: number) => void;
 };
 
-/** When a version was committed, as this voter knows. */
+/** A routing version and the time at which this voter learned of its commit. */
 type Commit = {
 	readonly version: number;
 	readonly at: number;
 };
 
-/** Commits that are remembered: more than come in the time that a follower may be behind. */
+/** Number of commits that are kept: more than are made while a follower can be behind. */
 const MAX_COMMITS = 256;
 
-/** A follower that lacks a version for longer is named in the log, in milliseconds. */
-const LATE_MS = 500;
+/** Followers that lack a version for longer than this time are logged, in milliseconds. */
+const LAG_LOG_MS = 500;
 
 const CHECK_MS = 250;
 
-/** Followers that one line names. */
-const MAX_NAMES = 8;
+/** Maximum number of followers in one log line. */
+const MAX_LOGGED_FOLLOWERS = 8;
 
-/** Follows how routings spread from the leader: who is behind, by what version, and for how long. */
+/** Tracks how routing versions reach followers: which followers are behind, with which version, and for how long. */
 export class RoutingRollout {
 	readonly #parts: RolloutParts;
 	readonly #commits: Commit[] = [];
@@ -39,14 +39,14 @@
 		this.#parts = parts;
 	}
 
-	/** @param getSessions - The sessions with this voter, or none while it does not lead. */
+	/** @param getSessions - Returns the sessions with this voter; empty while this voter is not the leader. */
 	start(getSessions: () => readonly FollowerSession[]): void {
 		this.#parts.timers.repeat(CHECK_MS, now => {
-			this.#logLate(getSessions(), now);
+			this.#logLagging(getSessions(), now);
 		});
 	}
 
-	/** Takes the newest committed version. */
+	/** Records the commit time of the newest version. */
 	noteCommitted(version: number): void {
 		if (version <= (this.#commits.at(-1)?.version ?? 0)) {
 			return;
@@ -58,30 +58,30 @@
 		}
 	}
 
-	/** Takes that a follower went on from one version to another. A first routing is no lag, as no older one was obeyed. */
+	/** Records that a follower confirmed a newer version. A follower's first routing is not counted as lag, as it used no older one before. */
 	noteConfirmed(role: string, before: number, version: number): void {
 		if (before > 0 && version > before) {
 			this.#parts.onConfirmed(role, this.#getLagMs(before, this.#parts.clock.now()));
 		}
 	}
 
-	/** Since when a newer version than this one is committed, in milliseconds; 0 where it is the newest. */
+	/** Returns the time since the commit of the next newer version, in milliseconds; 0 if the given version is the newest. */
 	#getLagMs(version: number, now: number): number {
 		const next = this.#commits.find(commit => commit.version > version);
 		return next ? now - next.at : 0;
 	}
 
-	#logLate(sessions: readonly FollowerSession[], now: number): void {
-		const late = sessions.filter(({confirmed}) => this.#getLagMs(confirmed.routingVersion, now) > LATE_MS);
-		if (late.length === 0) {
+	#logLagging(sessions: readonly FollowerSession[], now: number): void {
+		const lagging = sessions.filter(({confirmed}) => this.#getLagMs(confirmed.routingVersion, now) > LAG_LOG_MS);
+		if (lagging.length === 0) {
 			return;
 		}
 
-		const followers = late.slice(0, MAX_NAMES).map(({vm, role, confirmed, heardAt}) => ({
+		const followers = lagging.slice(0, MAX_LOGGED_FOLLOWERS).map(({vm, role, confirmed, heardAt}) => ({
 			vm, role, version: confirmed.routingVersion, lagMs: Math.round(this.#getLagMs(confirmed.routingVersion, now)), silentMs: Math.round(now - heardAt),
 		}));
 		this.#parts.logger.warn({
-			event: 'followers-behind', version: this.#commits.at(-1)?.version, count: late.length, sessions: sessions.length, followers,
-		}, 'followers obey an older routing');
+			event: 'followers-behind', version: this.#commits.at(-1)?.version, count: lagging.length, sessions: sessions.length, followers,
+		}, 'followers use an outdated routing configuration');
 	}
 }
--- a/apps/valelead-daemon/src/control/upstream-registry.ts
+++ b/apps/valelead-daemon/src/control/upstream-registry.ts
@@ -9,35 +9,35 @@
 
 type RegistryParts = {
 	readonly voter: Voter;
-	/** The services of the routing in force; undefined before there is one. */
+	/** Returns the services of the routing in force; undefined before the first routing. */
 	readonly getServices: () => ReadonlySet<string> | undefined;
 	readonly clock: Clock;
 	readonly timers: TimerService;
 	readonly logger: Logger;
-	/** How often upstreams announce themselves, in milliseconds. */
+	/** Interval at which upstreams announce themselves, in milliseconds. */
 	readonly announceMs: number;
-	/** Hears of changes that followers must learn at once. */
+	/** Called when the directory changes in a way that must be sent to followers immediately. */
 	readonly onChange: () => void;
-	/** Hears of an engine that holds something else than before and is ordered from another machine. */
+	/** Called when an engine that is managed from another machine announces a change of its models or copies. */
 	readonly onHoldings: (upstream: Upstream) => void;
 };
 
-/** An upstream that missed this many announcements counts as silent. */
-const SILENT_ANNOUNCEMENTS = 4;
+/** An upstream is removed as silent after it has missed this many announcements. */
+const MAX_MISSED_ANNOUNCEMENTS = 4;
 
-/** The upstreams that announced themselves to this voter since it leads. */
+/** Directory of the upstreams that have announced themselves to this voter in its current term as the leader. */
 export class UpstreamRegistry {
 	readonly #parts: RegistryParts;
 	#directory: Directory = newDirectory();
-	/** Where the processes that give orders are reached, by the address of the engine. */
-	readonly #keepers = new Map<string, string>();
+	/** Addresses of the processes that manage engines, by the address of the engine. */
+	readonly #managerAddresses = new Map<string, string>();
 	#term = -1;
 
 	constructor(parts: RegistryParts) {
 		this.#parts = parts;
 	}
 
-	/** Names the leadership that the directory's version belongs to. */
+	/** Identifies the leader and term that the directory's version belongs to. */
 	get epoch(): string {
 		this.#checkTerm();
 		return `${this.#parts.voter.record.id}/${this.#term}`;
@@ -50,20 +50,21 @@
 
 	start(): void {
 		this.#parts.timers.repeat(this.#parts.announceMs, now => {
-			this.#dropSilent(now);
+			this.#removeSilent(now);
 		});
 	}
 
 	/**
-	 * Takes an announcement; returns whether the upstream leaves with it. Throws what shows that another program wrote it, as its address
-	 * may be one that a true upstream has: UnroutedService or MalformedRequest.
+	 * Adds an announcement to the directory. Returns true if the upstream has left the ready state with it.
+	 * @throws ValeleadError with UnroutedService or MalformedRequest if the announcement must come from another program. Such a program may use
+	 * the address of a real upstream.
 	 */
 	announce(upstream: Upstream): boolean {
 		const known = this.directory.entries.get(upstream.id)?.upstream;
-		this.#check(upstream, known);
+		this.#checkAnnouncement(upstream, known);
 		const {version} = this.#directory;
-		const keeperAddress = this.#keepers.get(upstream.address) ?? '';
-		this.#change(() => {
+		const keeperAddress = this.#managerAddresses.get(upstream.address) ?? '';
+		this.#mutateDirectory(() => {
 			mutateAnnouncement(this.#directory, {...upstream, keeperAddress}, this.#parts.clock.now());
 		});
 		if (keeperAddress !== '' && this.#directory.version !== version) {
@@ -77,14 +78,14 @@
 		return upstream.state !== UPSTREAM_STATE.Ready && known?.state !== upstream.state;
 	}
 
-	/** Notes where the process is reached that gives an engine its orders; empty for its own sidecar. */
+	/** Sets the address of the process that manages an engine; empty if its own sidecar manages it. */
 	setKeeper(address: string, keeperAddress: string): void {
-		if ((this.#keepers.get(address) ?? '') === keeperAddress) {
+		if ((this.#managerAddresses.get(address) ?? '') === keeperAddress) {
 			return;
 		}
 
-		this.#keepers.set(address, keeperAddress);
-		this.#change(() => {
+		this.#managerAddresses.set(address, keeperAddress);
+		this.#mutateDirectory(() => {
 			mutateKeeper(this.#directory, address, keeperAddress);
 		});
 	}
@@ -92,7 +93,7 @@
 	depart(run: Run): void {
 		this.#checkTerm();
 		let known: Upstream | undefined;
-		this.#change(() => {
+		this.#mutateDirectory(() => {
 			known = mutateDeparture(this.#directory, run, this.#parts.clock.now());
 		});
 		if (known) {
@@ -100,7 +101,7 @@
 		}
 	}
 
-	#check(upstream: Upstream, known: Upstream | undefined): void {
+	#checkAnnouncement(upstream: Upstream, known: Upstream | undefined): void {
 		const isRouted = this.#parts.getServices()?.has(upstream.service) ?? true;
 		if (!isRouted && known?.service !== upstream.service) {
 			throw new ValeleadError(`No service "${upstream.service}" is in the routing`, {code: RESULT_CODE.UnroutedService});
@@ -112,16 +113,16 @@
 		}
 	}
 
-	#dropSilent(now: number): void {
+	#removeSilent(now: number): void {
 		this.#checkTerm();
-		this.#change(() => {
-			for (const upstream of mutateSilent(this.#directory, this.#parts.announceMs * SILENT_ANNOUNCEMENTS, now)) {
+		this.#mutateDirectory(() => {
+			for (const upstream of mutateSilent(this.#directory, this.#parts.announceMs * MAX_MISSED_ANNOUNCEMENTS, now)) {
 				this.#log(upstream, 'silent');
 			}
 		});
 	}
 
-	#change(mutate: () => void): void {
+	#mutateDirectory(mutate: () => void): void {
 		const before = this.#directory.urgentVersion;
 		mutate();
 		if (this.#directory.urgentVersion !== before) {
@@ -132,16 +133,16 @@
 	#log({id, service, address, sequence}: Upstream, state: string): void {
 		this.#parts.logger.info({
 			event: 'upstream-state', upstreamId: id, service, address, sequence, state,
-		}, 'state of an upstream changed');
+		}, 'upstream state changed');
 	}
 
-	/** What an earlier leadership heard is dropped: another leader may have heard more since. */
+	/** Clears the directory when the term changes: another leader may have received newer announcements in the meantime. */
 	#checkTerm(): void {
 		const term = this.#parts.voter.node?.term ?? 0;
 		if (term !== this.#term) {
 			this.#term = term;
 			this.#directory = newDirectory();
-			this.#keepers.clear();
+			this.#managerAddresses.clear();
 		}
 	}
 }
--- a/apps/valelead-daemon/tests/crash-histories.feature
+++ b/apps/valelead-daemon/tests/crash-histories.feature
@@ -1,18 +1,18 @@
-Feature: Requests that crash engines, in random histories
-  A request that crashes every engine under which it begins, sent again by its caller to one gateway after the other. Leaders are lost and come back, voters
-  and gateways stand still for up to five seconds or are cut off, and messages take up to a second.
+Feature: Requests that crash engines, in random fault histories
+  A request crashes every engine that starts it, and its caller sends it to one gateway after the other. Leaders change, voters and gateways are suspended
+  for up to five seconds, gateways are partitioned, and messages take up to a second.
 
-  # Guards against: a fourth engine lost by a gateway that goes on by what it knew while the others cannot tell it, at any order of events.
-  Scenario: Three engines are lost at most while one gateway at a time is away, and leaders come and go
-    When a caller sends such a request for 25 seconds in 300 random histories
-    Then at most 3 engines crashed in each of them
-    And the request was refused at the end of each
+  # Guards against a gateway that crashes a fourth engine because it acts on outdated state while it is unreachable, at any order of events.
+  Scenario: A request crashes at most three engines while one gateway at a time is unreachable and leaders change
+    When a caller sends the request for 25 seconds in 300 random histories
+    Then at most 3 engines crashed in each history
+    And the request was refused at the end of each history
 
-  # Guards against: a leader that lets gateways send what had begun at a crash before any of them has told it of crashes.
-  Scenario Outline: Three engines are lost at most when all voters stand still from crash <crash> on
-    When a caller sends such a request for 25 seconds, and all voters stand still for up to 5000 ms from its crash <crash> on, in 300 random histories
-    Then at most 3 engines crashed in each of them
-    And the request was refused at the end of each
+  # Guards against a leader that lets gateways send requests that had just started at a crash before any gateway has reported its crashes.
+  Scenario Outline: A request crashes at most three engines when all voters are suspended at crash <crash>
+    When a caller sends the request for 25 seconds, and all voters are suspended for up to 5000 ms at its crash <crash>, in 300 random histories
+    Then at most 3 engines crashed in each history
+    And the request was refused at the end of each history
 
     Examples:
       | crash |
--- a/apps/valelead-daemon/tests/crash-simulation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -22,62 +22,68 @@
 	readonly vm: string;
 	readonly process: VirtualProcess;
 	readonly guard: CrashGuard;
-	isCut: boolean;
-	/** New with each session, so that what belongs to an earlier one is dropped. */
+	isPartitioned: boolean;
+	/** Number of the current session. Callbacks of earlier sessions compare it with their own number and do nothing. */
 	session: number;
 	voter: number;
-	heardAt: number;
+	leaderHeardAt: number;
 	send: (isFirst: boolean) => void;
 };
 
-type Delay = () => number;
+type GetDelayMs = () => number;
 
 const GATEWAYS = 3;
 const HEARTBEAT_MS = 500;
-const SILENT_MS = 950;
+const LEADER_SILENCE_MS = 950;
 
-/** A gateway's news goes with what else comes within this time, in milliseconds. */
+/** Time within which a gateway collects new crashes before it sends one report of them, in milliseconds. */
 const COALESCE_MS = 3;
 
-/** A voter that names no leader is asked again after this time, in milliseconds. */
-const ASK_AGAIN_MS = 150;
+/** Time after which a gateway reports again to a voter that knows no leader, in milliseconds. */
+const LEADER_RETRY_MS = 150;
 
-/** Engines announce themselves to the leader, which tells gateways of the directory then, in milliseconds. */
+/** Interval at which the leader sends directory updates, caused by announcements of engines, to gateways, in milliseconds. */
 const ANNOUNCE_MS = 200;
 
-const TRY_GAP_MS = 120;
+const RETRY_DELAY_MS = 120;
 const BEGIN_MS = 40;
 const CRASH_MS = 60;
 
-/** Real clocks tell a report from a crash that is noted right after it; this one stands still meanwhile. In milliseconds. */
-const INSTANT_MS = 0.001;
+/**
+ * Subtracted from the time of a report, in milliseconds, so that a crash recorded right after the report has a later time. A real clock advances
+ * between the two; the virtual clock does not.
+ */
+const CLOCK_RESOLUTION_MS = 0.001;
 
-/** From a crash until the engine listens again, and until its next run is announced to gateways, in milliseconds. */
+/** Time from a crash until the engine listens again, and until gateways learn of its next run, in milliseconds. */
 const RESTART_MS = 900;
-const ANNOUNCED_MS = 1300;
+const REPLACED_MS = 1300;
 
 const SUSPECT = 'a5'.repeat(16);
 const NO_SUSPENSION = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 const ignore = (): void => undefined;
 
-/** Gateways with the shipped guard, voters with the shipped judgement and its rollout, and a caller that sends one request which crashes engines. */
+/**
+ * Simulates an installation on virtual time: gateways with the production crash guard, voters with the production quarantine registry and rollout, and
+ * a caller that keeps sending one request that crashes engines.
+ */
 export class CrashSimulation {
 	readonly time = new VirtualTime();
 	readonly clock: Clock = {now: () => this.time.now, wallNow: () => this.time.now};
 	readonly voters = new SimulatedVoters(this.time);
 	readonly gateways: Gateway[] = [];
-	/** Engines that crashed under the request. */
+	/** Number of engines that the request has crashed. */
 	crashes = 0;
-	/** Tries that were refused. */
+	/** Number of attempts that a gateway refused. */
 	refusals = 0;
 	readonly #sessions: FollowerSessions[];
-	/** When the engine at an address listens again. */
+	/** Time at which the engine at an address listens again. */
 	readonly #restartedAt = new Map<string, number>();
-	readonly #delay: Delay;
+	readonly #delay: GetDelayMs;
 	#nextEngine = 1;
 
-	/** @param delay - Draws how long a message takes, in milliseconds. */
-	constructor(delay: Delay) {
+	/** @param delay - Returns the delay of the next message, in milliseconds. */
+	constructor(delay: GetDelayMs) {
 		this.#delay = delay;
 		this.#sessions = this.voters.voters.map((_, index) => this.#startVoter(index));
 		for (let index = 0; index < GATEWAYS; index += 1) {
@@ -85,21 +91,21 @@
 		}
 	}
 
-	/** Sends the request to a gateway, and then to each next one as soon as its caller has an answer. */
-	try(index: number): void {
+	/** Sends the request to a gateway. After each answer the caller sends it to the next gateway. */
+	sendRequest(index: number): void {
 		const gateway = this.gateways[index % GATEWAYS];
-		const goOn = (): void => {
-			this.time.after(TRY_GAP_MS, () => {
-				this.try(index + 1);
+		const retry = (): void => {
+			this.time.after(RETRY_DELAY_MS, () => {
+				this.sendRequest(index + 1);
 			});
 		};
 
 		gateway.process.take(() => {
-			this.#arrive(gateway, goOn);
+			this.#handleRequest(gateway, retry);
 		});
 	}
 
-	#arrive(gateway: Gateway, answer: () => void): void {
+	#handleRequest(gateway: Gateway, answer: () => void): void {
 		const {guard, process} = gateway;
 		const request = {head: {id: 'try'}, fingerprint: SUSPECT} as unknown as GatewayRequest;
 		if (guard.getRefusal(request)) {
@@ -121,7 +127,7 @@
 					if (isLast) {
 						answer();
 					} else {
-						this.#arrive(gateway, answer);
+						this.#handleRequest(gateway, answer);
 					}
 				});
 			});
@@ -130,9 +136,9 @@
 
 	#announceReplaced({id, address}: ReturnType<typeof newUpstream>): void {
 		this.#restartedAt.set(address, this.time.now + RESTART_MS);
-		this.time.after(ANNOUNCED_MS, () => {
-			for (const {guard, process, isCut} of this.gateways) {
-				if (!isCut) {
+		this.time.after(REPLACED_MS, () => {
+			for (const {guard, process, isPartitioned} of this.gateways) {
+				if (!isPartitioned) {
 					process.take(() => {
 						guard.setUpstreams([newUpstream(`${id}-again`, {address})]);
 					});
@@ -177,7 +183,7 @@
 		const sessions = new FollowerSessions({
 			voter: voter as never,
 			registry: {
-				// Each leadership begins with a directory of its own.
+				// Each term starts with a new directory.
 				get epoch() {
 					return String(log.node!.term);
 				},
@@ -213,7 +219,7 @@
 			stalls: new StallWatch(clock, timers),
 			suspensions: NO_SUSPENSION,
 			getGatewayCount: () => gatewayCount,
-			getLeaderAgeMs: () => this.time.now - gateway.heardAt,
+			getLeaderAgeMs: () => this.time.now - gateway.leaderHeardAt,
 			isPortRefused: async address => this.time.now < (this.#restartedAt.get(address) ?? 0),
 			onCrash: ignore,
 			onCrashNews() {
@@ -224,16 +230,16 @@
 			onQuarantined: ignore,
 		});
 		const gateway: Gateway = {
-			vm, process, guard, isCut: false, session: 0, voter: this.voters.leader, heardAt: Number.NEGATIVE_INFINITY, send: ignore,
+			vm, process, guard, isPartitioned: false, session: 0, voter: this.voters.leader, leaderHeardAt: Number.NEGATIVE_INFINITY, send: ignore,
 		};
 		let connectedAt = this.time.now;
-		const take = (update: SessionUpdate): void => {
+		const handleUpdate = (update: SessionUpdate): void => {
 			if (update.quarantine) {
 				guard.exchange.take(update.quarantine, update.isCurrent);
 			}
 
 			if (update.isCurrent) {
-				gateway.heardAt = this.time.now;
+				gateway.leaderHeardAt = this.time.now;
 				gatewayCount = Math.max(gatewayCount, update.gatewayCount);
 				guard.exchange.noteHeard(update.sentAt, update.isCrashLeaseGranted);
 				guard.exchange.noteKnown(update.crashesKnownUntil);
@@ -242,52 +248,52 @@
 					gateway.send(false);
 				}
 			} else if (update.leaderAddress === '') {
-				// The session goes on when that voter comes to lead.
+				// The session continues if that voter becomes the leader.
 				connectedAt = this.time.now;
 				const {session} = gateway;
-				timers.after(ASK_AGAIN_MS, () => {
+				timers.after(LEADER_RETRY_MS, () => {
 					if (gateway.session === session) {
 						gateway.send(false);
 					}
 				});
 			} else {
-				this.#connect(gateway, Number(update.leaderAddress), () => gatewayCount, take);
+				this.#connect(gateway, Number(update.leaderAddress), () => gatewayCount, handleUpdate);
 			}
 		};
 
 		timers.repeat(HEARTBEAT_MS, now => {
-			if (now - Math.max(gateway.heardAt, connectedAt) > SILENT_MS) {
+			if (now - Math.max(gateway.leaderHeardAt, connectedAt) > LEADER_SILENCE_MS) {
 				connectedAt = now;
-				this.#connect(gateway, gateway.voter + 1, () => gatewayCount, take);
+				this.#connect(gateway, gateway.voter + 1, () => gatewayCount, handleUpdate);
 			} else {
 				gateway.send(false);
 			}
 		});
-		this.#connect(gateway, gateway.voter, () => gatewayCount, take);
+		this.#connect(gateway, gateway.voter, () => gatewayCount, handleUpdate);
 		return gateway;
 	}
 
-	/** Begins a session with a voter; the one before ends there without a word while the gateway is cut off. */
-	#connect(gateway: Gateway, voter: number, getCount: () => number, take: (update: SessionUpdate) => void): void {
+	/** Starts a session with a voter. While the gateway is partitioned, the voter does not notice the end of the previous session. */
+	#connect(gateway: Gateway, voter: number, getGatewayCount: () => number, take: (update: SessionUpdate) => void): void {
 		gateway.voter = voter % this.voters.voters.length;
 		gateway.session += 1;
 		const {session} = gateway;
 		const target = this.voters.voters[gateway.voter].process;
 		let isLost = false;
 		const isOpen = (): boolean => {
-			isLost ||= gateway.isCut;
+			isLost ||= gateway.isPartitioned;
 			return gateway.session === session && !isLost;
 		};
 
-		const there = new SimulatedLink(this.time, target, this.#delay);
-		const back = new SimulatedLink(this.time, gateway.process, this.#delay);
-		const ends: Array<() => void> = [];
+		const toVoter = new SimulatedLink(this.time, target, this.#delay);
+		const toGateway = new SimulatedLink(this.time, gateway.process, this.#delay);
+		const endListeners: Array<() => void> = [];
 		const stream = {
 			on(_event: string, listener: () => void) {
-				ends.push(listener);
+				endListeners.push(listener);
 			},
 			write(update: SessionUpdate) {
-				back.send(() => {
+				toGateway.send(() => {
 					if (isOpen()) {
 						take(update);
 					}
@@ -300,17 +306,17 @@
 			const report = create(FollowerReportSchema, {
 				vm: gateway.vm,
 				role: 'gateway',
-				sentAt: this.time.now - INSTANT_MS,
+				sentAt: this.time.now - CLOCK_RESOLUTION_MS,
 				crashes: crashes.map(crash => encodeCrash(crash)),
 				served: served.map(fingerprint => Uint8Array.from(Buffer.from(fingerprint, 'hex'))),
 				quarantineVersion,
-				gatewayCount: getCount(),
+				gatewayCount: getGatewayCount(),
 			});
-			there.send(() => {
+			toVoter.send(() => {
 				if (isOpen()) {
 					this.#sessions[this.voters.voters.findIndex(({process}) => process === target)].take(stream as never, report);
-				} else if (!gateway.isCut) {
-					for (const end of ends) {
+				} else if (!gateway.isPartitioned) {
+					for (const end of endListeners) {
 						end();
 					}
 				}
--- a/apps/valelead-daemon/tests/directory-news.steps.ts
+++ b/apps/valelead-daemon/tests/directory-publisher.steps.ts
@@ -18,7 +18,7 @@
 import {newUpstream} from '../../../tests/support/new-upstream.js';
 import {FollowerSessions, UpstreamRegistry} from 'valelead-daemon';
 
-/** A follower at the other end of its stream. */
+/** The follower's end of a session stream, with the follower's copy of the directory. */
 type FakeFollower = {
 	readonly vm: string;
 	readonly copy: DirectoryCopy;
@@ -27,18 +27,18 @@
 	sent: number;
 };
 
-type NewsWorld = {
+type PublisherWorld = {
 	time: VirtualTime;
 	timers: TimerService;
 	registry: UpstreamRegistry;
 	sessions: FollowerSessions;
 	followers: FakeFollower[];
 	engines: Upstream[];
-	holders: Map<string, string>;
-	/** Encoded deltas that were sent, each once. */
+	leaseHolders: Map<string, string>;
+	/** Distinct encoded deltas that were sent. */
 	deltas: Set<Uint8Array>;
-	/** Messages that were sent at each moment. */
-	turns: Map<number, number>;
+	/** Number of messages sent, by virtual time in milliseconds. */
+	messagesByTime: Map<number, number>;
 };
 
 const REPORT_MS = 500;
@@ -50,39 +50,39 @@
 	address: `10.0.0.${index}:80`, models: [{name: 'm0', version: 1, adapters: []}], copiesOnDisk: [`m${index}`],
 });
 
-const takeUpdate = (world: NewsWorld, follower: FakeFollower, update: SessionUpdate): void => {
+const applyUpdate = (world: PublisherWorld, follower: FakeFollower, update: SessionUpdate): void => {
 	follower.sent += 1;
-	world.turns.set(world.time.now, (world.turns.get(world.time.now) ?? 0) + 1);
+	world.messagesByTime.set(world.time.now, (world.messagesByTime.get(world.time.now) ?? 0) + 1);
 	world.deltas.add(update.directory);
 	const delta = fromBinary(DirectoryDeltaSchema, update.directory);
 	mutateDirectoryCopy(follower.copy, {...delta, upstreams: delta.upstreams as unknown as UpstreamChange[]}, world.time.now);
 };
 
-const report = ({sessions}: NewsWorld, follower: FakeFollower): void => {
+const report = ({sessions}: PublisherWorld, follower: FakeFollower): void => {
 	sessions.take(follower as never, create(FollowerReportSchema, {
 		vm: follower.vm, role: 'gateway', directoryEpoch: follower.copy.epoch, directoryVersion: follower.copy.version,
 	}));
 };
 
-const announce = (world: NewsWorld, index: number, changes: Partial<Upstream>): void => {
+const announce = (world: PublisherWorld, index: number, changes: Partial<Upstream>): void => {
 	const {sequence} = world.engines[index];
 	world.engines[index] = {...world.engines[index], ...changes, sequence: sequence + 1};
 	world.registry.announce(world.engines[index]);
 };
 
-const addFollower = (world: NewsWorld, index: number): void => {
+const addFollower = (world: PublisherWorld, index: number): void => {
 	const follower: FakeFollower = {
 		vm: `follower-${index}`,
 		copy: newDirectoryCopy(),
 		write(update) {
-			takeUpdate(world, follower, update);
+			applyUpdate(world, follower, update);
 			return true;
 		},
 		on: () => undefined,
 		sent: 0,
 	};
 	world.followers.push(follower);
-	// Followers report at moments of their own.
+	// The reports of different followers are spread over the report interval.
 	world.time.after(index % REPORT_MS, () => {
 		report(world, follower);
 		world.timers.repeat(REPORT_MS, () => {
@@ -91,15 +91,15 @@
 	});
 };
 
-const forget = (world: NewsWorld): void => {
+const resetCounters = (world: PublisherWorld): void => {
 	world.deltas.clear();
-	world.turns.clear();
+	world.messagesByTime.clear();
 	for (const follower of world.followers) {
 		follower.sent = 0;
 	}
 };
 
-const start = (world: NewsWorld, followers: number, engines: number): void => {
+const start = (world: PublisherWorld, followers: number, engines: number): void => {
 	world.time = new VirtualTime();
 	world.timers = newVirtualTimers(world.time);
 	const getNow = (): number => world.time.now;
@@ -109,9 +109,9 @@
 			term: 1, isCurrentLeader: true, canRead: true, voters: [],
 		}, machine: {routing: undefined, subscribe: () => undefined},
 	};
-	world.holders = new Map();
+	world.leaseHolders = new Map();
 	world.deltas = new Set();
-	world.turns = new Map();
+	world.messagesByTime = new Map();
 	world.followers = [];
 	world.registry = new UpstreamRegistry({
 		voter: voter as never,
@@ -128,7 +128,7 @@
 		},
 	});
 	const leases = {
-		note: () => undefined, getGrants: () => [], getSidecarDelayMs: () => 0, getHolder: (address: string) => world.holders.get(address),
+		note: () => undefined, getGrants: () => [], getSidecarDelayMs: () => 0, getHolder: (address: string) => world.leaseHolders.get(address),
 	};
 	world.sessions = new FollowerSessions({
 		voter: voter as never, registry: world.registry, leases: leases as never, quarantine: NO_QUARANTINE, quotas: NO_QUOTAS, limits: NO_LIMITS, gatewayLeases: NO_GATEWAY_LEASES,
@@ -145,22 +145,22 @@
 	}
 
 	world.time.advance(SETTLE_MS);
-	forget(world);
+	resetCounters(world);
 };
 
-Given('a leader with {int} followers and {int} engines', function (this: NewsWorld, followers: number, engines: number) {
+Given('a leader with {int} followers and {int} engines', function (this: PublisherWorld, followers: number, engines: number) {
 	start(this, followers, engines);
 });
 
-Given('follower {int} orders engine {int}', function (this: NewsWorld, follower: number, engine: number) {
+Given('follower {int} manages engine {int}', function (this: PublisherWorld, follower: number, engine: number) {
 	const {address} = this.engines[engine];
-	this.holders.set(address, `follower-${follower}`);
+	this.leaseHolders.set(address, `follower-${follower}`);
 	this.registry.setKeeper(address, '10.9.9.9:1');
 	this.time.advance(SETTLE_MS);
-	forget(this);
+	resetCounters(this);
 });
 
-When('the engines swap models for {int} seconds', function (this: NewsWorld, seconds: number) {
+When('the engines swap models for {int} seconds', function (this: PublisherWorld, seconds: number) {
 	for (const index of this.engines.keys()) {
 		let swaps = 0;
 		this.time.after((index * SWAP_MS) / this.engines.length, () => {
@@ -174,54 +174,54 @@
 	this.time.advance(seconds * 1000);
 });
 
-When('an engine announces that it leaves', function (this: NewsWorld) {
+When('an engine announces that it is draining', function (this: PublisherWorld) {
 	announce(this, 0, {state: UPSTREAM_STATE.Draining});
 	this.time.advance(STEP_MS);
 });
 
-When('engine {int} announces that it holds {string}', function (this: NewsWorld, engine: number, model: string) {
+When('engine {int} announces model {string}', function (this: PublisherWorld, engine: number, model: string) {
 	announce(this, engine, {models: [{name: model, version: 1, adapters: []}]});
 });
 
-Then('each follower was sent at most {int} messages', function (this: NewsWorld, most: number) {
+Then('each follower was sent at most {int} messages', function (this: PublisherWorld, most: number) {
 	for (const {vm, sent} of this.followers) {
 		assert.ok(sent <= most, `${vm}: ${sent}`);
 	}
 });
 
-Then('the directory was encoded at most {int} times', function (this: NewsWorld, most: number) {
+Then('the directory was encoded at most {int} times', function (this: PublisherWorld, most: number) {
 	assert.ok(this.deltas.size <= most, String(this.deltas.size));
 });
 
-Then('each follower knows it within {int} ms', function (this: NewsWorld, limitMs: number) {
+Then('each follower has the change within {int} ms', function (this: PublisherWorld, limitMs: number) {
 	this.time.advance(limitMs - STEP_MS);
 	for (const {vm, copy} of this.followers) {
 		assert.equal(copy.upstreams.get('i-0')?.upstream.state, UPSTREAM_STATE.Draining, vm);
 	}
 });
 
-Then('follower {int} knows it within {int} ms', function (this: NewsWorld, index: number, limitMs: number) {
+Then('follower {int} has the change within {int} ms', function (this: PublisherWorld, index: number, limitMs: number) {
 	this.time.advance(limitMs);
 	assert.deepEqual(this.followers[index].copy.upstreams.get('i-3')?.upstream.models.map(model => model.name), ['other']);
 });
 
-Then('no other follower was sent anything', function (this: NewsWorld) {
-	// Replies to reports come all the same; none of them tells of the engine yet.
+Then('no other follower has the change', function (this: PublisherWorld) {
+	// The followers still receive replies to their reports, but none of these contains the change yet.
 	const informed = this.followers.filter(({copy}) => copy.upstreams.get('i-3')?.upstream.models[0].name === 'other');
 	assert.equal(informed.length, 1);
 });
 
-Then('no turn of the loop sent more than {int} messages', function (this: NewsWorld, most: number) {
+Then('no iteration of the event loop sent more than {int} messages', function (this: PublisherWorld, most: number) {
 	this.time.advance(100);
-	assert.ok(Math.max(...this.turns.values()) <= most + 1, String(Math.max(...this.turns.values())));
+	assert.ok(Math.max(...this.messagesByTime.values()) <= most + 1, String(Math.max(...this.messagesByTime.values())));
 });
 
-/** What is known of each upstream, as lines in a fixed order. */
-const getHeld = (upstreams: readonly Upstream[]): string[] => upstreams
+/** Returns one line with the state, models and copies of each upstream, in sorted order. */
+const getSummaries = (upstreams: readonly Upstream[]): string[] => upstreams
 	.map(({id, state, models, copiesOnDisk}) => JSON.stringify([id, state, models.map(model => model.name), copiesOnDisk]))
 	.sort();
 
-When('{int} random histories of announcements, drains and reports are played', function (this: NewsWorld, count: number) {
+When('{int} random sequences of announcements, drains and reports are run', function (this: PublisherWorld, count: number) {
 	const step = fc.record({
 		engine: fc.nat(5), models: fc.subarray(['a', 'b', 'c']), disk: fc.subarray(['x', 'y', 'z']), isDraining: fc.boolean(), ms: fc.nat(900),
 	});
@@ -235,11 +235,11 @@
 		}
 
 		this.time.advance(SETTLE_MS);
-		const expected = getHeld([...this.registry.directory.entries.values()].map(({upstream}) => upstream));
+		const expected = getSummaries([...this.registry.directory.entries.values()].map(({upstream}) => upstream));
 		for (const {copy} of this.followers) {
-			assert.deepEqual(getHeld([...copy.upstreams.values()].map(({upstream}) => upstream)), expected);
+			assert.deepEqual(getSummaries([...copy.upstreams.values()].map(({upstream}) => upstream)), expected);
 		}
 	}), {numRuns: count, seed: 5});
 });
 
-Then('each follower holds what the leader\'s directory holds', () => undefined);
+Then('each follower has the same directory as the leader', () => undefined);
--- a/apps/valelead-daemon/tests/first-shares.feature
+++ b/apps/valelead-daemon/tests/first-shares.feature
@@ -1,11 +1,12 @@
-Feature: Shares of the retries at the first routing of an installation
-  The leader in whose term the first routing of all was proposed tells each gateway once, with its first routing, that nobody has spent a retry.
+Feature: Shares of the initial retry budget of an installation
+  The leader in whose term the installation's first routing was proposed grants each gateway, with its first routing, a share of the unspent
+  retry budget.
 
-  # Guards against shares that are told where somebody may have spent them.
-  Scenario Outline: A leader whose first routing came <when>
-    Given a leader that hears 3 gateways
-    When the first routing of the installation came <when>
-    Then its gateways are told of "<shares>" shares
+  # Guards against granting shares that a gateway may already have spent.
+  Scenario Outline: The first routing was proposed <when>
+    Given a leader with 3 gateways
+    When the first routing of the installation is proposed <when>
+    Then the gateways receive the share counts "<shares>"
 
     Examples:
       | when                                             | shares |
@@ -15,16 +16,16 @@
       | in its term, after a gateway had another routing | 0 0 0  |
       | in its term, before it was elected once more     | 0 0 0  |
 
-  # Guards against a gateway that is restarted again and again and takes the shares of the others.
-  Scenario: A gateway that was restarted gets none
-    Given a leader that hears 3 gateways
-    When the first routing of the installation came in its term
-    And the first gateway was told of it and is restarted
-    Then its gateways are told of "0 6 6" shares
+  # Guards against a gateway that restarts repeatedly and takes the shares of the other gateways.
+  Scenario: A restarted gateway gets no second share
+    Given a leader with 3 gateways
+    When the first routing of the installation is proposed in its term
+    And the first gateway receives it and restarts
+    Then the gateways receive the share counts "0 6 6"
 
-  # Guards against more shares than the whole.
-  Scenario: Gateways that come later get what is left
-    Given a leader that hears 1 gateway
-    When the first routing of the installation came in its term
-    And 5 more gateways come
-    Then its gateways are told of "4 4 4 4 0 0" shares
+  # Guards against granting more shares than the budget was divided into.
+  Scenario: Gateways that connect later get the remaining shares
+    Given a leader with 1 gateway
+    When the first routing of the installation is proposed in its term
+    And 5 more gateways connect
+    Then the gateways receive the share counts "4 4 4 4 0 0"
--- a/apps/valelead-daemon/tests/first-shares.steps.ts
+++ b/apps/valelead-daemon/tests/first-shares.steps.ts
@@ -12,10 +12,10 @@
 
 const getNames = (count: number): string[] => Array.from({length: count}, (_, index) => `gateway-${index}`);
 
-/** The leader's term. */
+/** Term of the leader under test. */
 const TERM = 2;
 
-Given('a leader that hears {int} gateway(s)', function (this: SharesWorld, count: number) {
+Given('a leader with {int} gateway(s)', function (this: SharesWorld, count: number) {
 	this.now = 0;
 	this.term = TERM;
 	this.firstRoutingTerm = undefined;
@@ -31,43 +31,43 @@
 	}
 });
 
-When('the first routing of the installation came in its term', function (this: SharesWorld) {
+When('the first routing of the installation is proposed in its term', function (this: SharesWorld) {
 	this.firstRoutingTerm = TERM;
 	this.shares.noteState();
 });
 
-When('the first routing of the installation came in an earlier term', function (this: SharesWorld) {
+When('the first routing of the installation is proposed in an earlier term', function (this: SharesWorld) {
 	this.firstRoutingTerm = TERM - 1;
 	this.shares.noteState();
 });
 
-When('the first routing of the installation came in its term, {int} ms ago', function (this: SharesWorld, ms: number) {
+When('the first routing of the installation is proposed in its term, {int} ms ago', function (this: SharesWorld, ms: number) {
 	this.firstRoutingTerm = TERM;
 	this.shares.noteState();
 	this.now += ms;
 });
 
-When('the first routing of the installation came in its term, after a gateway had another routing', function (this: SharesWorld) {
+When('the first routing of the installation is proposed in its term, after a gateway had another routing', function (this: SharesWorld) {
 	this.shares.note({vm: 'gateway-9'}, {routingVersion: 7});
 	this.firstRoutingTerm = TERM;
 	this.shares.noteState();
 });
 
-When('the first routing of the installation came in its term, before it was elected once more', function (this: SharesWorld) {
+When('the first routing of the installation is proposed in its term, before it was elected once more', function (this: SharesWorld) {
 	this.firstRoutingTerm = TERM;
 	this.shares.noteState();
 	this.term += 1;
 });
 
-When('the first gateway was told of it and is restarted', function (this: SharesWorld) {
+When('the first gateway receives it and restarts', function (this: SharesWorld) {
 	this.shares.take({vm: this.vms[0]});
 	this.shares.note({vm: this.vms[0]}, {routingVersion: 0});
 });
 
-When('{int} more gateways come', function (this: SharesWorld, count: number) {
+When('{int} more gateways connect', function (this: SharesWorld, count: number) {
 	this.vms = getNames(this.vms.length + count);
 });
 
-Then('its gateways are told of {string} shares', function (this: SharesWorld, expected: string) {
+Then('the gateways receive the share counts {string}', function (this: SharesWorld, expected: string) {
 	assert.equal(this.vms.map(vm => this.shares.take({vm})).join(' '), expected);
 });
--- a/apps/valelead-daemon/tests/order-leases.steps.ts
+++ b/apps/valelead-daemon/tests/order-leases.steps.ts
@@ -24,9 +24,9 @@
 	directory: Directory;
 	leases: OrderLeases;
 	sessions: FollowerSessions;
-	/** The sessions' streams by gateway. */
+	/** Session streams, by VM of the gateway. */
 	streams: Map<string, object>;
-	/** The gateway that said that it stops. */
+	/** VM of the gateway that reports that it is stopping; empty if there is none. */
 	stopping: string;
 };
 
@@ -34,7 +34,7 @@
 const REPORT_MS = 500;
 const FENCES_PER_TERM = 65_536;
 
-/** Stands for parts that the scenario does not look at. */
+/** Stub for dependencies that these scenarios do not use. */
 const ignore = (): void => undefined;
 
 const report = (world: LeasesWorld, attendedEngines: string[] = []): void => {
@@ -94,12 +94,12 @@
 	}
 });
 
-When('gateway {string} joins and {string} says that it stops', function (this: LeasesWorld, joining: string, stopping: string) {
+When('gateway {string} joins and {string} reports that it is stopping', function (this: LeasesWorld, joining: string, stopping: string) {
 	addStream(this, joining);
 	this.stopping = stopping;
 });
 
-When('{string} says that it has reached the sidecar of {string}', function (this: LeasesWorld, _vm: string, engine: string) {
+When('{string} reports that it has reached the sidecar of {string}', function (this: LeasesWorld, _vm: string, engine: string) {
 	report(this, [engine]);
 });
 
@@ -121,10 +121,10 @@
 	assert.deepEqual(this.leases.getGrants(vm), []);
 });
 
-Then('the directory names {string} as the keeper of {string}', function (this: LeasesWorld, keeper: string, engine: string) {
+Then('the directory names {string} as the manager of {string}', function (this: LeasesWorld, keeper: string, engine: string) {
 	assert.equal(this.directory.entries.get(engine)?.upstream.keeperAddress, keeper);
 });
 
-Then('the directory names nobody as the keeper of {string}', function (this: LeasesWorld, engine: string) {
+Then('the directory names no manager of {string}', function (this: LeasesWorld, engine: string) {
 	assert.equal(this.directory.entries.get(engine)?.upstream.keeperAddress, '');
 });
--- a/apps/valelead-daemon/tests/quarantine.steps.ts
+++ b/apps/valelead-daemon/tests/quarantine.steps.ts
@@ -20,12 +20,12 @@
 	time: VirtualTime;
 	gateway: RequestQuarantine;
 	/** When the gateway last heard a leader, in milliseconds. */
-	heardAt: number;
+	leaderHeardAt: number;
 	registry: QuarantineRegistry;
 	rollout: QuarantineRollout;
 	sessions: Map<string, FollowerSession>;
 	losses: HeldLosses;
-	isPassedOn: boolean;
+	isReported: boolean;
 	guard: CrashGuard;
 	isLast: boolean | undefined;
 	isLeading: boolean;
@@ -36,7 +36,7 @@
 
 const NO_SUSPENSION = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 
-const split = (text: string): string[] => text.split(', ').filter(name => name !== '');
+const splitNames = (text: string): string[] => text.split(', ').filter(name => name !== '');
 
 /** A fingerprint that shows the request's name. */
 const toFingerprint = (name: string): string => Buffer.from(name.padEnd(16, '.')).toString('hex');
@@ -55,12 +55,12 @@
 
 const startGateway = (world: QuarantineWorld, heardAt: number, gatewayCount = 1): void => {
 	world.time = new VirtualTime();
-	world.heardAt = heardAt;
+	world.leaderHeardAt = heardAt;
 	world.gateway = new RequestQuarantine({
 		clock: newClock(world.time),
 		timers: newVirtualTimers(world.time),
 		logger: pino({level: 'silent'}),
-		getLeaderAgeMs: () => world.time.now - world.heardAt,
+		getLeaderAgeMs: () => world.time.now - world.leaderHeardAt,
 		onQuarantined: () => undefined,
 		onCrashNews: () => undefined,
 		onCrashesKnown: () => undefined,
@@ -109,7 +109,7 @@
 };
 
 /** Lets time pass in steps, with what promises wait for in between. */
-const pass = async ({time}: QuarantineWorld, ms: number): Promise<void> => {
+const advance = async ({time}: QuarantineWorld, ms: number): Promise<void> => {
 	for (let passed = 0; passed < ms; passed += 10) {
 		time.advance(10);
 		await new Promise(resolve => {
@@ -118,7 +118,7 @@
 	}
 };
 
-const tell = (world: QuarantineWorld, vm: string, crashes: readonly WatchedRun[], served: readonly string[]): void => {
+const reportCrashes = (world: QuarantineWorld, vm: string, crashes: readonly WatchedRun[], served: readonly string[]): void => {
 	world.registry.note(create(FollowerReportSchema, {
 		vm, crashes: crashes.map(({runId, suspects}) => encodeCrash({runId, suspects: [...suspects.values()]})), served: served.map(name => toBytes(name)),
 	}));
@@ -139,14 +139,14 @@
 });
 
 When('the gateway sees runs {string} crash under requests {string} that were {word}', function (this: QuarantineWorld, runs: string, names: string, phase: string) {
-	for (const runId of split(runs)) {
-		this.gateway.noteCrash(newRun(runId, split(names), PHASES[phase]));
+	for (const runId of splitNames(runs)) {
+		this.gateway.noteCrash(newRun(runId, splitNames(names), PHASES[phase]));
 		this.time.advance(20);
 	}
 });
 
-const hear = (world: QuarantineWorld, suspected: readonly string[]): void => {
-	world.heardAt = world.time.now;
+const receiveList = (world: QuarantineWorld, suspected: readonly string[]): void => {
+	world.leaderHeardAt = world.time.now;
 	world.gateway.take(create(QuarantineListSchema, {suspected: suspected.map(name => toBytes(name))}), true);
 	world.gateway.noteHeard(world.time.now, true);
 };
@@ -157,15 +157,15 @@
 		this.time.advance(1);
 	}
 
-	hear(this, []);
+	receiveList(this, []);
 });
 
 When('the leader hears of it and suspects nobody', function (this: QuarantineWorld) {
-	hear(this, []);
+	receiveList(this, []);
 });
 
 When('the leader hears of it and suspects {string}', function (this: QuarantineWorld, name: string) {
-	hear(this, [name]);
+	receiveList(this, [name]);
 });
 
 When('a voter that does not lead sends its list', function (this: QuarantineWorld) {
@@ -206,40 +206,40 @@
 
 Given('a leader that has led for {int} seconds without a crash', async function (this: QuarantineWorld, seconds: number) {
 	startLeader(this, 0);
-	await pass(this, seconds * MS_PER_SECOND);
+	await advance(this, seconds * MS_PER_SECOND);
 });
 
 Given('a leader that has led for {int} seconds, whose judgements are committed at once', async function (this: QuarantineWorld, seconds: number) {
 	startLeader(this, 0);
-	tell(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
-	await pass(this, seconds * MS_PER_SECOND);
+	reportCrashes(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
+	await advance(this, seconds * MS_PER_SECOND);
 });
 
 Given('a leader that has led for {int} seconds, whose judgements are committed after {int} ms', async function (this: QuarantineWorld, seconds: number, commitMs: number) {
 	startLeader(this, commitMs);
-	tell(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
-	await pass(this, seconds * MS_PER_SECOND);
+	reportCrashes(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
+	await advance(this, seconds * MS_PER_SECOND);
 });
 
 When('gateway {string} tells of crashes of runs {string} under requests {string} that were {word}', function (this: QuarantineWorld, vm: string, runs: string, names: string, phase: string) {
-	tell(this, vm, split(runs).map(runId => newRun(runId, split(names), PHASES[phase])), []);
+	reportCrashes(this, vm, splitNames(runs).map(runId => newRun(runId, splitNames(names), PHASES[phase])), []);
 });
 
 When('gateways {string} tell of no crash', function (this: QuarantineWorld, names: string) {
-	for (const vm of split(names)) {
-		tell(this, vm, [], []);
+	for (const vm of splitNames(names)) {
+		reportCrashes(this, vm, [], []);
 	}
 });
 
 When('{int} seconds go by, and gateway {string} tells of {int} other crashes', async function (this: QuarantineWorld, seconds: number, vm: string, count: number) {
-	await pass(this, seconds * MS_PER_SECOND);
+	await advance(this, seconds * MS_PER_SECOND);
 	const runs = Array.from({length: count}, (_, index) => newRun(`other ${index}`, [`o${index}`], SUSPECT_PHASE.Begun));
-	tell(this, vm, runs, []);
-	await pass(this, MS_PER_SECOND);
+	reportCrashes(this, vm, runs, []);
+	await advance(this, MS_PER_SECOND);
 });
 
 When('gateway {string} tells that {string} was answered', function (this: QuarantineWorld, vm: string, name: string) {
-	tell(this, vm, [], [name]);
+	reportCrashes(this, vm, [], [name]);
 });
 
 Then('the leader keeps {string} back', function (this: QuarantineWorld, name: string) {
@@ -250,31 +250,31 @@
 	assert.deepEqual(getQuarantined(this), []);
 });
 
-const checkKept = (world: QuarantineWorld, kept: string, free: string): void => {
-	assert.deepEqual(getQuarantined(world), split(kept).map(name => toFingerprint(name)));
+const checkQuarantined = (world: QuarantineWorld, quarantined: string, free: string): void => {
+	assert.deepEqual(getQuarantined(world), splitNames(quarantined).map(name => toFingerprint(name)));
 	assert.ok(!getQuarantined(world).includes(toFingerprint(free)));
 };
 
 Then('the leader keeps {string} back and not {string}', function (this: QuarantineWorld, kept: string, free: string) {
-	checkKept(this, kept, free);
+	checkQuarantined(this, kept, free);
 	Object.assign(this, {kept, free});
 });
 
 Then('so it does {int} seconds later', async function (this: QuarantineWorld & {kept: string; free: string}, seconds: number) {
-	await pass(this, seconds * MS_PER_SECOND);
-	checkKept(this, this.kept, this.free);
+	await advance(this, seconds * MS_PER_SECOND);
+	checkQuarantined(this, this.kept, this.free);
 });
 
 Then('{int} second later the leader keeps {string} back and not {string}', async function (this: QuarantineWorld, seconds: number, kept: string, free: string) {
-	await pass(this, seconds * MS_PER_SECOND);
-	checkKept(this, kept, free);
+	await advance(this, seconds * MS_PER_SECOND);
+	checkQuarantined(this, kept, free);
 });
 
 Given('a leader that has led for {int} seconds and hears gateways {string}', async function (this: QuarantineWorld, seconds: number, names: string) {
 	startLeader(this, 0);
-	tell(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
-	await pass(this, seconds * MS_PER_SECOND);
-	this.sessions = new Map(split(names).map(vm => [vm, {
+	reportCrashes(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
+	await advance(this, seconds * MS_PER_SECOND);
+	this.sessions = new Map(splitNames(names).map(vm => [vm, {
 		vm, heardAt: this.time.now, quarantineConfirmed: 0, crashesKnownUntil: 0, crashesObeyedUntil: 0,
 	} as unknown as FollowerSession]));
 	const leases = new GatewayLeases({clock: newClock(this.time), getTerm: () => 1});
@@ -295,14 +295,14 @@
 });
 
 When('gateway {string} reports crashes of runs {string} under request {string}', function (this: QuarantineWorld, vm: string, runs: string, name: string) {
-	const crashes = split(runs).map(runId => encodeCrash({runId, suspects: [{fingerprint: toFingerprint(name), phase: SUSPECT_PHASE.Begun}]}));
+	const crashes = splitNames(runs).map(runId => encodeCrash({runId, suspects: [{fingerprint: toFingerprint(name), phase: SUSPECT_PHASE.Begun}]}));
 	const report = create(FollowerReportSchema, {vm, sentAt: this.time.now, crashes});
 	this.registry.note(report);
 	this.rollout.note(this.sessions.get(vm)!, report);
 });
 
 When('gateways {string} confirm the list', function (this: QuarantineWorld, names: string) {
-	for (const vm of split(names)) {
+	for (const vm of splitNames(names)) {
 		const session = this.sessions.get(vm)!;
 		session.heardAt = this.time.now;
 		session.quarantineConfirmed = this.registry.version;
@@ -316,7 +316,7 @@
 });
 
 When('{int} ms go by without a word', async function (this: QuarantineWorld, ms: number) {
-	await pass(this, ms);
+	await advance(this, ms);
 });
 
 Then('it is not told that all know of it', function (this: QuarantineWorld) {
@@ -336,29 +336,29 @@
 	assert.ok(this.sessions.get('one')!.crashesObeyedUntil > 0);
 });
 
-const hold = (world: QuarantineWorld, isCrashed: boolean): void => {
+const deferFailure = (world: QuarantineWorld, isCrashed: boolean): void => {
 	world.time = new VirtualTime();
-	world.isPassedOn = false;
+	world.isReported = false;
 	world.losses = new HeldLosses(newVirtualTimers(world.time), newClock(world.time));
 	world.losses.hold({runId: 'a', isCrashed, mostMs: 500}, () => {
-		world.isPassedOn = true;
+		world.isReported = true;
 	});
 	world.time.advance(50);
 	world.losses.noteKnown(isCrashed ? -1 : world.time.now);
-	assert.equal(world.isPassedOn, false, 'it is held at first');
+	assert.equal(world.isReported, false, 'it is held at first');
 };
 
 Given('a lost try at run "a", which is known to have crashed', function (this: QuarantineWorld) {
-	hold(this, true);
+	deferFailure(this, true);
 });
 
 Given('a lost try at run "a", which is found crashed later', function (this: QuarantineWorld) {
-	hold(this, false);
+	deferFailure(this, false);
 	this.losses.noteCrash('a');
 });
 
 Given('a lost try at run "a", which is found alive later', function (this: QuarantineWorld) {
-	hold(this, false);
+	deferFailure(this, false);
 });
 
 When('all gateways know of the crash', function (this: QuarantineWorld) {
@@ -374,7 +374,7 @@
 });
 
 Then('the try is passed on', function (this: QuarantineWorld) {
-	assert.ok(this.isPassedOn);
+	assert.ok(this.isReported);
 });
 
 const startGuard = (world: QuarantineWorld, isPortRefused: boolean, isStalled = false): void => {
@@ -415,7 +415,7 @@
 	}, isLast => {
 		this.isLast = isLast;
 	});
-	await pass(this, 3 * MS_PER_SECOND);
+	await advance(this, 3 * MS_PER_SECOND);
 });
 
 Then('it is given another upstream', function (this: QuarantineWorld) {
--- a/apps/valelead-daemon/tests/simulated-link.ts
+++ b/apps/valelead-daemon/tests/simulated-link.ts
@@ -1,7 +1,7 @@
 import type {VirtualProcess} from '../../../tests/support/virtual-process.js';
 import type {VirtualTime} from '../../../tests/support/virtual-time.js';
 
-/** One way of a connection between two processes: nothing is lost or overtaken while it lasts. */
+/** One direction of a connection between two simulated processes. It delays messages but neither loses nor reorders them. */
 export class SimulatedLink {
 	readonly #time: VirtualTime;
 	readonly #to: VirtualProcess;
@@ -14,10 +14,10 @@
 		this.#getDelayMs = getDelayMs;
 	}
 
-	send(take: () => void): void {
+	send(deliver: () => void): void {
 		this.#lastAt = Math.max(this.#lastAt, this.#time.now + this.#getDelayMs());
 		this.#time.after(this.#lastAt - this.#time.now, () => {
-			this.#to.take(take);
+			this.#to.take(deliver);
 		});
 	}
 }
--- a/apps/valelead-daemon/tests/simulated-voters.ts
+++ b/apps/valelead-daemon/tests/simulated-voters.ts
@@ -9,20 +9,20 @@
 const TICK_MS = 20;
 const COMMIT_MS = 20;
 
-/** A leader without a majority knows by its own clock that it leads no more after this time, in milliseconds. */
+/** Length of a leader's lease, in milliseconds. A leader without a majority stops leading by its own clock after this time. */
 const LEASE_MS = 630;
 
-/** From the end of a leader's lease to the next one, in milliseconds. */
+/** Time from the end of a leader's lease until the next leader is elected, in milliseconds. */
 const ELECTION_MS = 400;
 
-type Candidate = {
+type SimulatedVoter = {
 	readonly process: VirtualProcess;
 	readonly listeners: Array<() => void>;
 };
 
-/** Three voters that elect leaders and share a log, as far as the judgement on crashes sees them. */
+/** Simulates the part of three voters that the quarantine registry depends on: leader election and a shared log. */
 export class SimulatedVoters {
-	readonly voters: readonly Candidate[];
+	readonly voters: readonly SimulatedVoter[];
 	readonly #time: VirtualTime;
 	readonly #intent = newIntent();
 	#term = 1;
@@ -43,7 +43,7 @@
 		return index === this.#leader && this.#time.now < this.#leaseUntil;
 	}
 
-	/** The log as one voter sees it. */
+	/** Returns the replicated log from the view of one voter. */
 	getLog(index: number): QuarantineLog {
 		const isLeading = (): boolean => this.isLeading(index);
 		const getTerm = (): number => this.#term;
@@ -85,12 +85,12 @@
 	}
 
 	#tick(): void {
-		const up = [...this.voters.keys()].filter(index => !this.voters[index].process.isFrozen);
+		const running = [...this.voters.keys()].filter(index => !this.voters[index].process.isFrozen);
 		const {now} = this.#time;
-		if (up.length >= MAJORITY && up.includes(this.#leader) && now <= this.#leaseUntil) {
+		if (running.length >= MAJORITY && running.includes(this.#leader) && now <= this.#leaseUntil) {
 			this.#leaseUntil = now + LEASE_MS;
-		} else if (up.length >= MAJORITY && now > this.#leaseUntil + ELECTION_MS) {
-			this.#leader = up.find(index => index !== this.#leader)!;
+		} else if (running.length >= MAJORITY && now > this.#leaseUntil + ELECTION_MS) {
+			this.#leader = running.find(index => index !== this.#leader)!;
 			this.#term += 1;
 			this.#leaseUntil = now + LEASE_MS;
 		}
