--- a/apps/valelead-daemon/tests/quarantine.steps.ts
+++ b/apps/valelead-daemon/tests/quarantine.steps.ts
@@ -19,7 +19,7 @@
 type QuarantineWorld = {
 	time: VirtualTime;
 	gateway: RequestQuarantine;
-	/** When the gateway last heard a leader, in milliseconds. */
+	/** Time at which the gateway last received an update from a leader, in milliseconds. */
 	leaderHeardAt: number;
 	registry: QuarantineRegistry;
 	rollout: QuarantineRollout;
@@ -38,7 +38,7 @@
 
 const splitNames = (text: string): string[] => text.split(', ').filter(name => name !== '');
 
-/** A fingerprint that shows the request's name. */
+/** Returns a fingerprint that contains the name of the request, so that failures are easy to read. */
 const toFingerprint = (name: string): string => Buffer.from(name.padEnd(16, '.')).toString('hex');
 
 const toBytes = (name: string): Uint8Array => Uint8Array.from(Buffer.from(toFingerprint(name), 'hex'));
@@ -70,7 +70,7 @@
 	});
 };
 
-/** A log whose commits take a while. */
+/** Creates a replicated log whose commits take `commitMs`. */
 const newLog = (time: VirtualTime, commitMs: number): RegistryParts['voter'] => {
 	const intent = newIntent();
 	const listeners: Array<() => void> = [];
@@ -108,7 +108,7 @@
 	world.registry.start();
 };
 
-/** Lets time pass in steps, with what promises wait for in between. */
+/** Advances virtual time in steps of 10 ms and runs pending promise callbacks after each step. */
 const advance = async ({time}: QuarantineWorld, ms: number): Promise<void> => {
 	for (let passed = 0; passed < ms; passed += 10) {
 		time.advance(10);
@@ -126,15 +126,15 @@
 
 const getQuarantined = ({registry}: QuarantineWorld): string[] => registry.getList().quarantined.map(({fingerprint}) => Buffer.from(fingerprint).toString('hex'));
 
-Given('a gateway and a leader that it hears', function (this: QuarantineWorld) {
+Given('a gateway with a leader', function (this: QuarantineWorld) {
 	startGateway(this, 0);
 });
 
-Given('a gateway and a leader that it hears, one of {int} gateways', function (this: QuarantineWorld, gatewayCount: number) {
+Given('a gateway with a leader, one of {int} gateways', function (this: QuarantineWorld, gatewayCount: number) {
 	startGateway(this, 0, gatewayCount);
 });
 
-Given('a gateway that hears no leader', function (this: QuarantineWorld) {
+Given('a gateway without a leader', function (this: QuarantineWorld) {
 	startGateway(this, Number.NEGATIVE_INFINITY);
 });
 
@@ -151,7 +151,7 @@
 	world.gateway.noteHeard(world.time.now, true);
 };
 
-When('the gateway sees {int} crashes under {string}, of which its leader hears', function (this: QuarantineWorld, count: number, name: string) {
+When('the gateway sees {int} crashes under {string}, and its leader knows of them', function (this: QuarantineWorld, count: number, name: string) {
 	for (let index = 0; index < count; index += 1) {
 		this.gateway.noteCrash(newRun(`run ${index}`, [name], SUSPECT_PHASE.Unanswered));
 		this.time.advance(1);
@@ -160,31 +160,31 @@
 	receiveList(this, []);
 });
 
-When('the leader hears of it and suspects nobody', function (this: QuarantineWorld) {
+When('the leader has the gateway\'s reports and suspects no request', function (this: QuarantineWorld) {
 	receiveList(this, []);
 });
 
-When('the leader hears of it and suspects {string}', function (this: QuarantineWorld, name: string) {
+When('the leader has the gateway\'s reports and suspects {string}', function (this: QuarantineWorld, name: string) {
 	receiveList(this, [name]);
 });
 
-When('a voter that does not lead sends its list', function (this: QuarantineWorld) {
+When('a voter that is not the leader sends its list', function (this: QuarantineWorld) {
 	this.gateway.take(create(QuarantineListSchema, {}), false);
 });
 
-When('the leader is not heard for {int} seconds', function (this: QuarantineWorld, seconds: number) {
+When('the gateway has no contact with the leader for {int} seconds', function (this: QuarantineWorld, seconds: number) {
 	this.time.advance(seconds * MS_PER_SECOND);
 });
 
-Then('the gateway lets {string} through', function (this: QuarantineWorld, name: string) {
+Then('the gateway does not quarantine {string}', function (this: QuarantineWorld, name: string) {
 	assert.equal(this.gateway.getRemainingMs(toFingerprint(name)), 0);
 });
 
-Then('the gateway keeps {string} back', function (this: QuarantineWorld, name: string) {
+Then('the gateway quarantines {string}', function (this: QuarantineWorld, name: string) {
 	assert.ok(this.gateway.getRemainingMs(toFingerprint(name)) > 0);
 });
 
-When('a leader that has not heard all gateways sends its list', function (this: QuarantineWorld) {
+When('a leader without the reports of all gateways sends its list', function (this: QuarantineWorld) {
 	this.gateway.take(create(QuarantineListSchema, {}), true);
 	this.gateway.noteHeard(this.time.now, false);
 });
@@ -200,7 +200,7 @@
 	assert.equal(this.gateway.getRefusal(toFingerprint(other)), undefined);
 });
 
-Given('a leader that has just been elected', function (this: QuarantineWorld) {
+Given('a newly elected leader', function (this: QuarantineWorld) {
 	startLeader(this, 0);
 });
 
@@ -209,44 +209,44 @@
 	await advance(this, seconds * MS_PER_SECOND);
 });
 
-Given('a leader that has led for {int} seconds, whose judgements are committed at once', async function (this: QuarantineWorld, seconds: number) {
+Given('a leader that has led for {int} seconds, whose decisions are committed at once', async function (this: QuarantineWorld, seconds: number) {
 	startLeader(this, 0);
 	reportCrashes(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
 	await advance(this, seconds * MS_PER_SECOND);
 });
 
-Given('a leader that has led for {int} seconds, whose judgements are committed after {int} ms', async function (this: QuarantineWorld, seconds: number, commitMs: number) {
+Given('a leader that has led for {int} seconds, whose decisions are committed after {int} ms', async function (this: QuarantineWorld, seconds: number, commitMs: number) {
 	startLeader(this, commitMs);
 	reportCrashes(this, 'two', [newRun('other', ['other'], SUSPECT_PHASE.Begun)], []);
 	await advance(this, seconds * MS_PER_SECOND);
 });
 
-When('gateway {string} tells of crashes of runs {string} under requests {string} that were {word}', function (this: QuarantineWorld, vm: string, runs: string, names: string, phase: string) {
+When('gateway {string} reports crashes of runs {string} under requests {string} that were {word}', function (this: QuarantineWorld, vm: string, runs: string, names: string, phase: string) {
 	reportCrashes(this, vm, splitNames(runs).map(runId => newRun(runId, splitNames(names), PHASES[phase])), []);
 });
 
-When('gateways {string} tell of no crash', function (this: QuarantineWorld, names: string) {
+When('gateways {string} report no crash', function (this: QuarantineWorld, names: string) {
 	for (const vm of splitNames(names)) {
 		reportCrashes(this, vm, [], []);
 	}
 });
 
-When('{int} seconds go by, and gateway {string} tells of {int} other crashes', async function (this: QuarantineWorld, seconds: number, vm: string, count: number) {
+When('{int} seconds pass, and gateway {string} reports {int} other crashes', async function (this: QuarantineWorld, seconds: number, vm: string, count: number) {
 	await advance(this, seconds * MS_PER_SECOND);
 	const runs = Array.from({length: count}, (_, index) => newRun(`other ${index}`, [`o${index}`], SUSPECT_PHASE.Begun));
 	reportCrashes(this, vm, runs, []);
 	await advance(this, MS_PER_SECOND);
 });
 
-When('gateway {string} tells that {string} was answered', function (this: QuarantineWorld, vm: string, name: string) {
+When('gateway {string} reports that {string} was answered', function (this: QuarantineWorld, vm: string, name: string) {
 	reportCrashes(this, vm, [], [name]);
 });
 
-Then('the leader keeps {string} back', function (this: QuarantineWorld, name: string) {
+Then('the leader quarantines {string}', function (this: QuarantineWorld, name: string) {
 	assert.deepEqual(getQuarantined(this), [toFingerprint(name)]);
 });
 
-Then('the leader keeps nothing back', function (this: QuarantineWorld) {
+Then('the leader quarantines no request', function (this: QuarantineWorld) {
 	assert.deepEqual(getQuarantined(this), []);
 });
 
@@ -255,17 +255,17 @@
 	assert.ok(!getQuarantined(world).includes(toFingerprint(free)));
 };
 
-Then('the leader keeps {string} back and not {string}', function (this: QuarantineWorld, kept: string, free: string) {
+Then('the leader quarantines {string} and not {string}', function (this: QuarantineWorld, kept: string, free: string) {
 	checkQuarantined(this, kept, free);
 	Object.assign(this, {kept, free});
 });
 
-Then('so it does {int} seconds later', async function (this: QuarantineWorld & {kept: string; free: string}, seconds: number) {
+Then('it still does {int} seconds later', async function (this: QuarantineWorld & {kept: string; free: string}, seconds: number) {
 	await advance(this, seconds * MS_PER_SECOND);
 	checkQuarantined(this, this.kept, this.free);
 });
 
-Then('{int} second later the leader keeps {string} back and not {string}', async function (this: QuarantineWorld, seconds: number, kept: string, free: string) {
+Then('{int} second later the leader quarantines {string} and not {string}', async function (this: QuarantineWorld, seconds: number, kept: string, free: string) {
 	await advance(this, seconds * MS_PER_SECOND);
 	checkQuarantined(this, kept, free);
 });
@@ -315,23 +315,23 @@
 	this.isLeading = false;
 });
 
-When('{int} ms go by without a word', async function (this: QuarantineWorld, ms: number) {
+When('{int} ms pass without a report', async function (this: QuarantineWorld, ms: number) {
 	await advance(this, ms);
 });
 
-Then('it is not told that all know of it', function (this: QuarantineWorld) {
+Then('gateway "one" is not told that all gateways know of the crashes', function (this: QuarantineWorld) {
 	assert.equal(this.sessions.get('one')!.crashesKnownUntil, 0);
 });
 
-Then('it is told that all know of it', function (this: QuarantineWorld) {
+Then('gateway "one" is told that all gateways know of the crashes', function (this: QuarantineWorld) {
 	assert.ok(this.sessions.get('one')!.crashesKnownUntil > 0);
 });
 
-Then('it is not told that no gateway is unaware of it', function (this: QuarantineWorld) {
+Then('gateway "one" is not told that no gateway is unaware of the crashes', function (this: QuarantineWorld) {
 	assert.equal(this.sessions.get('one')!.crashesObeyedUntil, 0);
 });
 
-Then('it is told that no gateway is unaware of it', function (this: QuarantineWorld) {
+Then('gateway "one" is told that no gateway is unaware of the crashes', function (this: QuarantineWorld) {
 	this.rollout.settle();
 	assert.ok(this.sessions.get('one')!.crashesObeyedUntil > 0);
 });
@@ -345,19 +345,19 @@
 	});
 	world.time.advance(50);
 	world.losses.noteKnown(isCrashed ? -1 : world.time.now);
-	assert.equal(world.isReported, false, 'it is held at first');
+	assert.equal(world.isReported, false, 'the failure is held at first');
 };
 
-Given('a lost try at run "a", which is known to have crashed', function (this: QuarantineWorld) {
+Given('a failed attempt at run "a", which is known to have crashed', function (this: QuarantineWorld) {
 	deferFailure(this, true);
 });
 
-Given('a lost try at run "a", which is found crashed later', function (this: QuarantineWorld) {
+Given('a failed attempt at run "a", which is found crashed later', function (this: QuarantineWorld) {
 	deferFailure(this, false);
 	this.losses.noteCrash('a');
 });
 
-Given('a lost try at run "a", which is found alive later', function (this: QuarantineWorld) {
+Given('a failed attempt at run "a", which is found alive later', function (this: QuarantineWorld) {
 	deferFailure(this, false);
 });
 
@@ -369,11 +369,11 @@
 	this.losses.noteAlive('a');
 });
 
-When('500 ms pass without a word', function (this: QuarantineWorld) {
+When('500 ms pass without an event', function (this: QuarantineWorld) {
 	this.time.advance(500);
 });
 
-Then('the try is passed on', function (this: QuarantineWorld) {
+Then('the failure is reported', function (this: QuarantineWorld) {
 	assert.ok(this.isReported);
 });
 
@@ -403,7 +403,7 @@
 	startGuard(this, false);
 });
 
-Given('a gateway whose upstreams go on listening, and that stood still', function (this: QuarantineWorld) {
+Given('a gateway whose upstreams go on listening, and that was suspended', function (this: QuarantineWorld) {
 	startGuard(this, false, true);
 });
 
