--- a/apps/valelead-daemon/src/control/directory-news.ts
+++ b/apps/valelead-daemon/src/control/directory-news.ts
@@ -5,7 +5,7 @@
 import type {DirectoryProgress} from './directory-progress.js';
 import type {UpstreamRegistry} from './upstream-registry.js';
 
-type PublisherParts = {
+type UpdatesParts = {
 	readonly registry: Pick<UpstreamRegistry, 'epoch' | 'directory'>;
 	readonly timers: TimerService;
 };
@@ -13,7 +13,7 @@
 /**
  * Interval at which changes of the models on engines are published in one batch, in milliseconds. Without batching, each model swap sends
  * one message to each follower: with 84 engines that swap once a second and 160 followers, this used a whole core of the leader, and
- * engines waited 500 ms for the answer to an announcement (`npm run bench:leader`). Gateways learn an engine's models sooner from the
+ * engines waited 500 ms for the reply to an announcement (`npm run bench:leader`). Gateways learn an engine's models sooner from the
  * process that manages the engine.
  */
 const PUBLISH_INTERVAL_MS = 1000;
@@ -28,11 +28,11 @@
  * versions, so each delta is encoded once instead of once for each follower.
  */
 export class DirectoryNews {
-	readonly #parts: PublisherParts;
+	readonly #parts: UpdatesParts;
 	readonly #encoded = new Map<string, Uint8Array>();
 	#published: DirectoryProgress = {epoch: '', directoryVersion: 0};
 
-	constructor(parts: PublisherParts) {
+	constructor(parts: UpdatesParts) {
 		this.#parts = parts;
 	}
 
--- a/apps/valelead-daemon/src/control/first-shares.ts
+++ b/apps/valelead-daemon/src/control/first-shares.ts
@@ -60,7 +60,7 @@
 		}
 	}
 
-	/** Takes a gateway's report. A routing that the gateway did not receive in this term shows that the replicated log was lost. */
+	/** Processes a gateway's report. A routing that the gateway did not receive in this term shows that the replicated log was lost. */
 	note({vm}: Pick<FollowerSession, 'vm'>, {routingVersion}: {readonly routingVersion: number}): void {
 		this.noteState();
 		this.#hasForeignRouting ||= routingVersion > 0 && !this.#vmsWithRouting.has(vm);
--- a/apps/valelead-daemon/src/control/limit-registry.ts
+++ b/apps/valelead-daemon/src/control/limit-registry.ts
@@ -26,7 +26,7 @@
  */
 const TOLERANCE: QuotaTolerance = {windowMs: 4000, overshoot: 0.25, slack: 3};
 
-/** Minimum rate of requests per second to an upstream, even if its limit is lower: only its answers show that the limit no longer applies. */
+/** Minimum rate of requests per second to an upstream, even if its limit is lower: only its responses show that the limit no longer applies. */
 const MIN_PER_SECOND = 0.1;
 
 /**
@@ -42,7 +42,7 @@
 });
 
 /**
- * Collects the rate limits that upstreams have stated in answers to any gateway, and lends gateways the requests that they may send to those
+ * Collects the rate limits that upstreams have stated in responses to any gateway, and lends gateways the requests that they may send to those
  * upstreams. Runs on the leader.
  */
 export class LimitRegistry {
@@ -67,7 +67,7 @@
 
 	/** Version of the limits. Increases when a limit changes and when a term starts. */
 	get version(): number {
-		this.#checkTerm();
+		this.#clearOnNewTerm();
 		return this.#version;
 	}
 
@@ -75,9 +75,9 @@
 		return this.#limits.size;
 	}
 
-	/** Takes the limits and usage in a session's report. Returns the loans granted to the session; undefined if there are none. */
+	/** Processes the limits and usage in a session's report. Returns the loans granted to the session; undefined if there are none. */
 	note(sessionId: string, {vm, limitSightings, limitUsages}: FollowerReport): Loan[] | undefined {
-		this.#checkTerm();
+		this.#clearOnNewTerm();
 		const now = this.#parts.clock.now();
 		for (const {upstreamId, perSecond, ageMs} of limitSightings) {
 			this.#addSighting(vm, {upstreamId, perSecond, at: now - ageMs});
@@ -117,7 +117,7 @@
 	}
 
 	/** Clears the limits when the term changes: limits from an earlier term may have ended, and gateways report the current limits again. */
-	#checkTerm(): void {
+	#clearOnNewTerm(): void {
 		const term = this.#parts.voter.node?.term ?? -1;
 		if (term !== this.#term) {
 			this.#term = term;
--- a/apps/valelead-daemon/src/control/order-leases.ts
+++ b/apps/valelead-daemon/src/control/order-leases.ts
@@ -51,7 +51,7 @@
 	}
 
 	/**
-	 * Takes the engines, ended leases and held leases in a follower's report.
+	 * Processes the engines, ended leases and held leases in a follower's report.
 	 * @param attendedEngines - Addresses of all engines whose sidecars the follower has named in its session.
 	 */
 	note(report: FollowerReport, attendedEngines: Iterable<string>): void {
@@ -144,7 +144,7 @@
 		}
 
 		state.attended.add(address);
-		this.#parts.registry.setKeeper(address, '');
+		this.#parts.registry.setManager(address, '');
 	}
 
 	#renewLeases(): void {
@@ -162,7 +162,7 @@
 		}
 
 		for (const {address, vm} of state.leases.values()) {
-			registry.setKeeper(address, state.attended.has(address) ? '' : this.#candidates.get(vm)?.keeperAddress ?? '');
+			registry.setManager(address, state.attended.has(address) ? '' : this.#candidates.get(vm)?.keeperAddress ?? '');
 		}
 	}
 
--- a/apps/valelead-daemon/src/control/quarantine-registry.ts
+++ b/apps/valelead-daemon/src/control/quarantine-registry.ts
@@ -112,7 +112,7 @@
 		});
 	}
 
-	/** Takes the crashes and the answered suspected requests in a gateway's report. */
+	/** Processes the crashes and the answered suspected requests in a gateway's report. */
 	note({vm, crashes, served}: CrashReport): void {
 		this.#checkTerm();
 		const changed = this.#collector.addReport(vm, crashes.map(message => decodeCrash(message)));
--- a/apps/valelead-daemon/src/control/quarantine-rollout.ts
+++ b/apps/valelead-daemon/src/control/quarantine-rollout.ts
@@ -46,7 +46,7 @@
 		this.#parts = parts;
 	}
 
-	/** Takes a report. Must be called after the quarantine registry has taken the crashes of the report. */
+	/** Processes a report. Must be called after the quarantine registry has processed the crashes of the report. */
 	note(session: FollowerSession, {sentAt, crashes}: FollowerReport): void {
 		if (crashes.length > 0) {
 			const now = this.#parts.clock.now();
--- a/apps/valelead-daemon/src/control/quota-registry.ts
+++ b/apps/valelead-daemon/src/control/quota-registry.ts
@@ -42,7 +42,7 @@
 		});
 	}
 
-	/** Takes the usage in a session's report. Returns the loans granted to the session; undefined if there are none. */
+	/** Processes the usage in a session's report. Returns the loans granted to the session; undefined if there are none. */
 	note(sessionId: string, usages: readonly QuotaUsage[]): Loan[] | undefined {
 		const state = this.#getState();
 		if (!state || usages.length === 0) {
--- a/apps/valelead-daemon/src/control/upstream-registry.ts
+++ b/apps/valelead-daemon/src/control/upstream-registry.ts
@@ -79,7 +79,7 @@
 	}
 
 	/** Sets the address of the process that manages an engine; empty if its own sidecar manages it. */
-	setKeeper(address: string, keeperAddress: string): void {
+	setManager(address: string, keeperAddress: string): void {
 		if ((this.#managerAddresses.get(address) ?? '') === keeperAddress) {
 			return;
 		}
--- a/apps/valelead-daemon/tests/crash-simulation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -79,19 +79,19 @@
 	readonly #sessions: FollowerSessions[];
 	/** Time at which the engine at an address listens again. */
 	readonly #restartedAt = new Map<string, number>();
-	readonly #delay: GetDelayMs;
+	readonly #getDelayMs: GetDelayMs;
 	#nextEngine = 1;
 
-	/** @param delay - Returns the delay of the next message, in milliseconds. */
-	constructor(delay: GetDelayMs) {
-		this.#delay = delay;
+	/** @param getDelayMs - Returns the delay of the next message, in milliseconds. */
+	constructor(getDelayMs: GetDelayMs) {
+		this.#getDelayMs = getDelayMs;
 		this.#sessions = this.voters.voters.map((_, index) => this.#startVoter(index));
 		for (let index = 0; index < GATEWAYS; index += 1) {
 			this.gateways.push(this.#startGateway(`gateway-${index}`));
 		}
 	}
 
-	/** Sends the request to a gateway. After each answer the caller sends it to the next gateway. */
+	/** Sends the request to a gateway. After each response the caller sends it to the next gateway. */
 	sendRequest(index: number): void {
 		const gateway = this.gateways[index % GATEWAYS];
 		const retry = (): void => {
@@ -285,8 +285,8 @@
 			return gateway.session === session && !isLost;
 		};
 
-		const toVoter = new SimulatedLink(this.time, target, this.#delay);
-		const toGateway = new SimulatedLink(this.time, gateway.process, this.#delay);
+		const toVoter = new SimulatedLink(this.time, target, this.#getDelayMs);
+		const toGateway = new SimulatedLink(this.time, gateway.process, this.#getDelayMs);
 		const endListeners: Array<() => void> = [];
 		const stream = {
 			on(_event: string, listener: () => void) {
--- a/apps/valelead-daemon/tests/directory-publisher.steps.ts
+++ b/apps/valelead-daemon/tests/directory-updates.steps.ts
@@ -27,7 +27,7 @@
 	sent: number;
 };
 
-type PublisherWorld = {
+type UpdatesWorld = {
 	time: VirtualTime;
 	timers: TimerService;
 	registry: UpstreamRegistry;
@@ -50,7 +50,7 @@
 	address: `10.0.0.${index}:80`, models: [{name: 'm0', version: 1, adapters: []}], copiesOnDisk: [`m${index}`],
 });
 
-const applyUpdate = (world: PublisherWorld, follower: FakeFollower, update: SessionUpdate): void => {
+const applyUpdate = (world: UpdatesWorld, follower: FakeFollower, update: SessionUpdate): void => {
 	follower.sent += 1;
 	world.messagesByTime.set(world.time.now, (world.messagesByTime.get(world.time.now) ?? 0) + 1);
 	world.deltas.add(update.directory);
@@ -58,19 +58,19 @@
 	mutateDirectoryCopy(follower.copy, {...delta, upstreams: delta.upstreams as unknown as UpstreamChange[]}, world.time.now);
 };
 
-const report = ({sessions}: PublisherWorld, follower: FakeFollower): void => {
+const report = ({sessions}: UpdatesWorld, follower: FakeFollower): void => {
 	sessions.take(follower as never, create(FollowerReportSchema, {
 		vm: follower.vm, role: 'gateway', directoryEpoch: follower.copy.epoch, directoryVersion: follower.copy.version,
 	}));
 };
 
-const announce = (world: PublisherWorld, index: number, changes: Partial<Upstream>): void => {
+const announce = (world: UpdatesWorld, index: number, changes: Partial<Upstream>): void => {
 	const {sequence} = world.engines[index];
 	world.engines[index] = {...world.engines[index], ...changes, sequence: sequence + 1};
 	world.registry.announce(world.engines[index]);
 };
 
-const addFollower = (world: PublisherWorld, index: number): void => {
+const addFollower = (world: UpdatesWorld, index: number): void => {
 	const follower: FakeFollower = {
 		vm: `follower-${index}`,
 		copy: newDirectoryCopy(),
@@ -91,7 +91,7 @@
 	});
 };
 
-const resetCounters = (world: PublisherWorld): void => {
+const resetCounters = (world: UpdatesWorld): void => {
 	world.deltas.clear();
 	world.messagesByTime.clear();
 	for (const follower of world.followers) {
@@ -99,7 +99,7 @@
 	}
 };
 
-const start = (world: PublisherWorld, followers: number, engines: number): void => {
+const start = (world: UpdatesWorld, followers: number, engines: number): void => {
 	world.time = new VirtualTime();
 	world.timers = newVirtualTimers(world.time);
 	const getNow = (): number => world.time.now;
@@ -148,19 +148,19 @@
 	resetCounters(world);
 };
 
-Given('a leader with {int} followers and {int} engines', function (this: PublisherWorld, followers: number, engines: number) {
+Given('a leader with {int} followers and {int} engines', function (this: UpdatesWorld, followers: number, engines: number) {
 	start(this, followers, engines);
 });
 
-Given('follower {int} manages engine {int}', function (this: PublisherWorld, follower: number, engine: number) {
+Given('follower {int} manages engine {int}', function (this: UpdatesWorld, follower: number, engine: number) {
 	const {address} = this.engines[engine];
 	this.leaseHolders.set(address, `follower-${follower}`);
-	this.registry.setKeeper(address, '10.9.9.9:1');
+	this.registry.setManager(address, '10.9.9.9:1');
 	this.time.advance(SETTLE_MS);
 	resetCounters(this);
 });
 
-When('the engines swap models for {int} seconds', function (this: PublisherWorld, seconds: number) {
+When('the engines swap models for {int} seconds', function (this: UpdatesWorld, seconds: number) {
 	for (const index of this.engines.keys()) {
 		let swaps = 0;
 		this.time.after((index * SWAP_MS) / this.engines.length, () => {
@@ -174,44 +174,44 @@
 	this.time.advance(seconds * 1000);
 });
 
-When('an engine announces that it is draining', function (this: PublisherWorld) {
+When('an engine announces that it is draining', function (this: UpdatesWorld) {
 	announce(this, 0, {state: UPSTREAM_STATE.Draining});
 	this.time.advance(STEP_MS);
 });
 
-When('engine {int} announces model {string}', function (this: PublisherWorld, engine: number, model: string) {
+When('engine {int} announces model {string}', function (this: UpdatesWorld, engine: number, model: string) {
 	announce(this, engine, {models: [{name: model, version: 1, adapters: []}]});
 });
 
-Then('each follower was sent at most {int} messages', function (this: PublisherWorld, most: number) {
+Then('each follower was sent at most {int} messages', function (this: UpdatesWorld, most: number) {
 	for (const {vm, sent} of this.followers) {
 		assert.ok(sent <= most, `${vm}: ${sent}`);
 	}
 });
 
-Then('the directory was encoded at most {int} times', function (this: PublisherWorld, most: number) {
+Then('the directory was encoded at most {int} times', function (this: UpdatesWorld, most: number) {
 	assert.ok(this.deltas.size <= most, String(this.deltas.size));
 });
 
-Then('each follower has the change within {int} ms', function (this: PublisherWorld, limitMs: number) {
+Then('each follower has the change within {int} ms', function (this: UpdatesWorld, limitMs: number) {
 	this.time.advance(limitMs - STEP_MS);
 	for (const {vm, copy} of this.followers) {
 		assert.equal(copy.upstreams.get('i-0')?.upstream.state, UPSTREAM_STATE.Draining, vm);
 	}
 });
 
-Then('follower {int} has the change within {int} ms', function (this: PublisherWorld, index: number, limitMs: number) {
+Then('follower {int} has the change within {int} ms', function (this: UpdatesWorld, index: number, limitMs: number) {
 	this.time.advance(limitMs);
 	assert.deepEqual(this.followers[index].copy.upstreams.get('i-3')?.upstream.models.map(model => model.name), ['other']);
 });
 
-Then('no other follower has the change', function (this: PublisherWorld) {
+Then('no other follower has the change', function (this: UpdatesWorld) {
 	// The followers still receive replies to their reports, but none of these contains the change yet.
 	const informed = this.followers.filter(({copy}) => copy.upstreams.get('i-3')?.upstream.models[0].name === 'other');
 	assert.equal(informed.length, 1);
 });
 
-Then('no iteration of the event loop sent more than {int} messages', function (this: PublisherWorld, most: number) {
+Then('no iteration of the event loop sent more than {int} messages', function (this: UpdatesWorld, most: number) {
 	this.time.advance(100);
 	assert.ok(Math.max(...this.messagesByTime.values()) <= most + 1, String(Math.max(...this.messagesByTime.values())));
 });
@@ -221,7 +221,7 @@
 	.map(({id, state, models, copiesOnDisk}) => JSON.stringify([id, state, models.map(model => model.name), copiesOnDisk]))
 	.sort();
 
-When('{int} random sequences of announcements, drains and reports are run', function (this: PublisherWorld, count: number) {
+When('{int} random sequences of announcements, drains and reports are run', function (this: UpdatesWorld, count: number) {
 	const step = fc.record({
 		engine: fc.nat(5), models: fc.subarray(['a', 'b', 'c']), disk: fc.subarray(['x', 'y', 'z']), isDraining: fc.boolean(), ms: fc.nat(900),
 	});
--- a/apps/valelead-daemon/tests/order-leases.steps.ts
+++ b/apps/valelead-daemon/tests/order-leases.steps.ts
@@ -62,7 +62,7 @@
 	const registry = {
 		epoch: 'e',
 		directory: this.directory,
-		setKeeper: (address: string, keeperAddress: string) => {
+		setManager: (address: string, keeperAddress: string) => {
 			mutateKeeper(this.directory, address, keeperAddress);
 		},
 	};
--- a/apps/valelead-daemon/tests/quarantine.feature
+++ b/apps/valelead-daemon/tests/quarantine.feature
@@ -64,13 +64,13 @@
       | at once         |
       | after 200 ms    |
 
-  # Guards against a late quarantine of a request that crashes upstreams before any answer: the leader took its first crash for the start of its term.
+  # Guards against a late quarantine of a request that crashes upstreams before any response: the leader took its first crash for the start of its term.
   Scenario: A leader decides on its first crashes immediately once it has led for some seconds
     Given a leader that has led for 5 seconds without a crash
     When gateway "one" reports crashes of runs "a, b, c" under requests "boom" that were unanswered
     Then the leader quarantines "boom"
 
-  # Guards against treating new crashes as incompletely reported, which let a request that crashes upstreams before any answer crash five.
+  # Guards against treating new crashes as incompletely reported, which let a request that crashes upstreams before any response crash five.
   Scenario: A newly elected leader decides on crashes that come after the first reports of its gateways
     Given a newly elected leader
     When gateways "one, two" report no crash
@@ -86,7 +86,7 @@
     Then the leader quarantines no request
     And 1 second later the leader quarantines "" and not "popular"
 
-  # Guards against never quarantining a request that crashes upstreams before any answer because no other gateway reports more.
+  # Guards against never quarantining a request that crashes upstreams before any response because no other gateway reports more.
   Scenario: A leader decides on the newest crash once other gateways have had time to report it
     Given a leader that has led for 5 seconds without a crash
     When gateway "one" reports crashes of runs "a, b, c, d, e, f" under requests "boom" that were running
@@ -101,8 +101,8 @@
     And 61 seconds pass, and gateway "one" reports 256 other crashes
     Then the leader quarantines "boom"
 
-  # Guards against losing an answer that arrives while the quarantine is being committed.
-  Scenario: An answer during the commit of a quarantine ends it
+  # Guards against losing a response that arrives while the quarantine is being committed.
+  Scenario: A response during the commit of a quarantine ends it
     Given a leader that has led for 5 seconds, whose decisions are committed after 200 ms
     When gateway "two" reports crashes of runs "a, b, c" under requests "popular" that were unanswered
     And gateway "one" reports that "popular" was answered
