--- a/apps/valelead-daemon/src/control/crash-collector.ts
+++ b/apps/valelead-daemon/src/control/crash-collector.ts
@@ -6,7 +6,7 @@
 type CollectorParts = {
 	readonly clock: Clock;
 	readonly timers: TimerService;
-	/** Called when a report adds something to what is known of a crash. */
+	/** Called when a gateway's report adds a crash or adds suspects to a known crash. */
 	readonly onCrash: (vm: string, runId: string) => void;
 	/** Called with the requests of crashes that every gateway has had time to report. */
 	readonly onComplete: (fingerprints: readonly string[]) => void;
@@ -36,7 +36,7 @@
 	#isNewTerm = false;
 	/** Gateways that have sent a report in the current term. */
 	readonly #reportedVms = new Set<string>();
-	/** Run of the most recently reported crash, while some gateways may not have reported that crash yet. */
+	/** Run id of the upstream whose crash is the newest, while some gateways may not have reported that crash yet. */
 	#newestRun: string | undefined;
 
 	constructor(parts: CollectorParts) {
--- a/apps/valelead-daemon/src/control/gateway-leases.ts
+++ b/apps/valelead-daemon/src/control/gateway-leases.ts
@@ -15,8 +15,8 @@
 
 /**
  * Time for which an absent gateway is assumed to have crashed one more upstream that the leader does not know of, in milliseconds. After this
- * time its callers have received an error and tried another gateway. Without the limit, a gateway that never returns would hold suspected
- * requests back forever.
+ * time its callers have received an error and tried another gateway. Without the limit, suspected requests would be held back
+ * forever if a gateway never returns.
  */
 const ABSENCE_LIMIT_MS = 10_000;
 
--- a/apps/valelead-daemon/src/control/quarantine-registry.ts
+++ b/apps/valelead-daemon/src/control/quarantine-registry.ts
@@ -38,6 +38,7 @@
 	readonly at: number;
 };
 
+/** Interval at which expired quarantines are released, in milliseconds. */
 const EXPIRY_CHECK_MS = 1000;
 
 /** Maximum age of the list that is shared by all gateways, in milliseconds. The remaining time of a quarantine is accurate to this time. */
@@ -151,7 +152,7 @@
 		return this.#collector.ledger;
 	}
 
-	/** Quarantines requests from a timer callback. Checks for leadership first, as it may have been lost since the timer was set. */
+	/** Quarantines requests from a timer callback, if this voter is still the leader. */
 	#quarantineIfLeading(fingerprints: readonly string[]): void {
 		if (this.#parts.voter.node?.isCurrentLeader) {
 			this.#quarantineSuspects(fingerprints);
--- a/apps/valelead-daemon/src/control/quarantine-rollout.ts
+++ b/apps/valelead-daemon/src/control/quarantine-rollout.ts
@@ -29,7 +29,7 @@
 /** The rollout does not wait for a gateway that has sent no report for this time: two heartbeats, in milliseconds. */
 const GATEWAY_SILENCE_MS = 1000;
 
-/** Maximum wait for the confirmations of gateways, in milliseconds. The request that lost its upstream waits for the same time. */
+/** Maximum wait for the confirmations of gateways, in milliseconds. It is short because the request that lost its upstream waits as long. */
 const MAX_CONFIRM_MS = 250;
 
 /**
--- a/apps/valelead-daemon/tests/crash-histories.steps.ts
+++ b/apps/valelead-daemon/tests/crash-histories.steps.ts
@@ -38,6 +38,7 @@
 const FAST_MS = 10;
 const SLOW_MS = 900;
 
+/** Advances virtual time in steps of `STEP_MS` and runs pending promise callbacks after each step. */
 const advance = async ({time}: CrashSimulation, ms: number): Promise<void> => {
 	for (let passed = 0; passed < ms; passed += STEP_MS) {
 		time.advance(STEP_MS);
--- a/apps/valelead-daemon/tests/crash-simulation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -42,7 +42,7 @@
 /** Time after which a gateway reports again to a voter that knows no leader, in milliseconds. */
 const LEADER_RETRY_MS = 150;
 
-/** Interval at which the leader sends directory updates, caused by announcements of engines, to gateways, in milliseconds. */
+/** Interval at which engines announce themselves, which makes the leader send directory updates to gateways, in milliseconds. */
 const ANNOUNCE_MS = 200;
 
 const RETRY_DELAY_MS = 120;
