--- a/apps/valelead-daemon/tests/crash-link.ts
+++ b/apps/valelead-daemon/tests/simulated-link.ts
@@ -1,8 +1,8 @@
 import type {VirtualProcess} from '../../../tests/support/virtual-process.js';
 import type {VirtualTime} from '../../../tests/support/virtual-time.js';
 
-/** One way of a connection between two processes: nothing is lost or overtaken while it lasts. */
-export class CrashLink {
+/** One direction of a connection between two simulated processes. It delays messages but neither loses nor reorders them. */
+export class SimulatedLink {
 	readonly #time: VirtualTime;
 	readonly #to: VirtualProcess;
 	readonly #getDelayMs: () => number;
@@ -14,10 +14,10 @@
 		this.#getDelayMs = getDelayMs;
 	}
 
-	send(take: () => void): void {
+	send(deliver: () => void): void {
 		this.#lastAt = Math.max(this.#lastAt, this.#time.now + this.#getDelayMs());
 		this.#time.after(this.#lastAt - this.#time.now, () => {
-			this.#to.take(take);
+			this.#to.take(deliver);
 		});
 	}
 }
