--- a/apps/valelead-daemon/src/gateway/attempts.ts
+++ b/apps/valelead-daemon/src/gateway/active-attempts.ts
@@ -49,7 +49,7 @@
 const HTTP_SERVER_ERROR = 500;
 
 /** The sendings of a gateway's requests that are in progress, and the ways back to their callers. */
-export class Attempts {
+export class ActiveAttempts {
 	readonly #parts: AttemptsParts;
 	readonly #sent = new Map<string, SentAttempt>();
 	readonly #pipes = new Map<string, AnswerPipe>();
--- a/apps/valelead-daemon/src/gateway/request-dispatcher.ts
+++ b/apps/valelead-daemon/src/gateway/request-dispatcher.ts
@@ -13,7 +13,7 @@
 import {StallWatch} from '../stall-watch.js';
 import type {LimitExchange} from '../follower/limit-exchange.js';
 import {afterTurns} from './after-turns.js';
-import {Attempts} from './attempts.js';
+import {ActiveAttempts} from './active-attempts.js';
 import {CrashGuard} from './crash-guard.js';
 import {DemandReporter} from './demand-reporter.js';
 import {DispatchLog} from './dispatch-log.js';
@@ -80,7 +80,7 @@
 	readonly #parts: DispatcherParts;
 	readonly #state: AdmissionState = newAdmissionState(LEAST_RETRY_AFTER_MS);
 	readonly #requests = new Map<string, GatewayRequest>();
-	readonly #attempts: Attempts;
+	readonly #attempts: ActiveAttempts;
 	readonly #log: DispatchLog;
 	readonly #book: UpstreamBook;
 	readonly #demand: DemandReporter;
@@ -248,9 +248,9 @@
 		this.#book.close();
 	}
 
-	#newAttempts(): Attempts {
+	#newAttempts(): ActiveAttempts {
 		const {codec, clock, newAttempt} = this.#parts;
-		return new Attempts({
+		return new ActiveAttempts({
 			codec,
 			clock,
 			newAttempt,
