--- a/apps/valelead-daemon/src/gateway/active-attempts.ts
+++ b/apps/valelead-daemon/src/gateway/active-attempts.ts
@@ -8,7 +8,7 @@
 import {getAttemptFailure} from './get-attempt-failure.js';
 import {mutatePart} from './mutate-part.js';
 import {newAttemptEnd} from './new-attempt-end.js';
-import type {AnswerStart} from './answer-start.js';
+import type {ResponseHead} from './response-head.js';
 import type {AttemptEnd} from './attempt-end.js';
 import type {AttemptTerms} from './attempt-terms.js';
 import type {GatewayRequest} from './gateway-request.js';
@@ -136,7 +136,7 @@
 	}
 
 	/** Takes the head of an answer; returns whether the rest is wanted. */
-	#start(request: GatewayRequest, sending: Omit<Sending, 'remainingMs'>, answer: AnswerStart): boolean {
+	#start(request: GatewayRequest, sending: Omit<Sending, 'remainingMs'>, answer: ResponseHead): boolean {
 		const status = answer.statusCode ?? 0;
 		this.#parts.onAnswer(sending.upstream.id);
 		request.answerFraming = getAnswerFraming({method: request.method, status, headers: answer.headers});
--- a/apps/valelead-daemon/src/gateway/answer-pipe.ts
+++ b/apps/valelead-daemon/src/gateway/answer-pipe.ts
@@ -2,7 +2,7 @@
 import {EventSplitter} from '@valelead/answer';
 import {ROUTE_KIND} from '@valelead/routing';
 import {getForwardedHeaders} from './get-forwarded-headers.js';
-import type {AnswerStart} from './answer-start.js';
+import type {ResponseHead} from './response-head.js';
 import type {GatewayRequest} from './gateway-request.js';
 
 const HTTP_OK = 200;
@@ -16,7 +16,7 @@
 	readonly #isStream: boolean;
 	readonly #chunks: Buffer[] = [];
 
-	constructor(request: GatewayRequest, answer: AnswerStart) {
+	constructor(request: GatewayRequest, answer: ResponseHead) {
 		const {route} = request;
 		this.#request = request;
 		this.#status = answer.statusCode ?? 0;
--- a/apps/valelead-daemon/src/gateway/attempt-terms.ts
+++ b/apps/valelead-daemon/src/gateway/attempt-terms.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 import type {CallerCodec} from '../adapter/caller-codec.js';
-import type {AnswerStart} from './answer-start.js';
+import type {ResponseHead} from './response-head.js';
 import type {AttemptEnd} from './attempt-end.js';
 import type {UpstreamAgent} from './upstream-agent.js';
 
@@ -9,7 +9,7 @@
 	/** Any answer of the upstream; the requests a second that it takes from all gateways together, undefined where it names no limit. */
 	readonly onLimit: (perSecond: number | undefined) => void;
 	/** The head of the answer; returns whether the answer is wanted. */
-	readonly onHead: (answer: AnswerStart) => boolean;
+	readonly onHead: (answer: ResponseHead) => boolean;
 	readonly onData: (chunk: Buffer) => void;
 	/** The whole answer has come. */
 	readonly onEnd: () => void;
--- a/apps/valelead-daemon/src/gateway/answer-start.ts
+++ b/apps/valelead-daemon/src/gateway/response-head.ts
@@ -1,4 +1,4 @@
 import type {IncomingMessage} from 'node:http';
 
 /** The status and headers of an upstream's answer. */
-export type AnswerStart = Pick<IncomingMessage, 'statusCode' | 'headers' | 'rawHeaders'>;
+export type ResponseHead = Pick<IncomingMessage, 'statusCode' | 'headers' | 'rawHeaders'>;
