--- a/apps/valelead-daemon/src/gateway/active-attempts.ts
+++ b/apps/valelead-daemon/src/gateway/active-attempts.ts
@@ -5,7 +5,7 @@
 import {ROUTE_KIND, isRepeatable} from '@valelead/routing';
 import type {CallerCodec} from '../adapter/caller-codec.js';
 import {AnswerPipe} from './answer-pipe.js';
-import {getAttemptFailure} from './get-attempt-failure.js';
+import {getAttemptTimeout} from './get-attempt-timeout.js';
 import {mutatePart} from './mutate-part.js';
 import {newAttemptEnd} from './new-attempt-end.js';
 import type {ResponseHead} from './response-head.js';
@@ -103,7 +103,7 @@
 	 */
 	giveUpOverdue(now: number, getElsewhere: (attemptId: string) => GatewayRequest | undefined): void {
 		for (const [attemptId, attempt] of this.#sent) {
-			const failure = getAttemptFailure(attempt, getElsewhere(attemptId), now);
+			const failure = getAttemptTimeout(attempt, getElsewhere(attemptId), now);
 			if (failure) {
 				attempt.fail(failure.code, failure.reason);
 			}
--- a/apps/valelead-daemon/src/gateway/get-attempt-failure.ts
+++ b/apps/valelead-daemon/src/gateway/get-attempt-timeout.ts
@@ -4,7 +4,7 @@
 import type {GatewayRequest} from './gateway-request.js';
 import type {SentAttempt} from './sent-attempt.js';
 
-type AttemptFailure = {
+type AttemptTimeout = {
 	readonly code: ResultCodeValue;
 	readonly reason: string;
 };
@@ -16,7 +16,7 @@
  * Why an attempt is given up now, or undefined while it may go on.
  * @param request - The request where another upstream could take it, or undefined.
  */
-export const getAttemptFailure = (attempt: SentAttempt, request: GatewayRequest | undefined, now: number): AttemptFailure | undefined => {
+export const getAttemptTimeout = (attempt: SentAttempt, request: GatewayRequest | undefined, now: number): AttemptTimeout | undefined => {
 	const waitedMs = now - attempt.startedAt;
 	if (!attempt.isSent) {
 		return waitedMs > CONNECT_TIMEOUT_MS ? {code: RESULT_CODE.UpstreamUnreachable, reason: 'the connection did not come up'} : undefined;
