--- a/apps/valelead-daemon/src/gateway/end-recorder.ts
+++ b/apps/valelead-daemon/src/gateway/completion-recorder.ts
@@ -23,7 +23,7 @@
 const MS_PER_SECOND = 1000;
 
 /** Records how requests ended, in metrics by team and class and in one line of the log each. */
-export class EndRecorder {
+export class CompletionRecorder {
 	readonly #parts: RecorderParts;
 
 	constructor(parts: RecorderParts) {
@@ -37,7 +37,7 @@
 	}
 
 	/** A request is broken off at the end of the grace period. */
-	recordCut({arrivedAt}: GatewayRequest): void {
+	recordAborted({arrivedAt}: GatewayRequest): void {
 		const grace = this.#parts.getGrace();
 		const isLate = grace !== undefined && arrivedAt >= grace.startedAt;
 		this.#parts.metrics.stopCuts.inc({arrived: isLate ? 'after' : 'before'});
--- a/apps/valelead-daemon/src/gateway/request-intake.ts
+++ b/apps/valelead-daemon/src/gateway/request-intake.ts
@@ -5,7 +5,7 @@
 import type {Logger} from 'pino';
 import type {QuotaExchange} from '../follower/quota-exchange.js';
 import type {Metrics} from '../metrics/metrics.js';
-import {EndRecorder} from './end-recorder.js';
+import {CompletionRecorder} from './completion-recorder.js';
 import {QuotaGate} from './quota-gate.js';
 import type {GatewayRequest} from './gateway-request.js';
 import type {GracePeriod} from './grace-period.js';
@@ -31,11 +31,11 @@
 export class RequestIntake {
 	readonly #parts: IntakeParts;
 	readonly #gate: QuotaGate;
-	readonly #ends: EndRecorder;
+	readonly #ends: CompletionRecorder;
 
 	constructor(parts: IntakeParts) {
 		this.#parts = parts;
-		this.#ends = new EndRecorder(parts);
+		this.#ends = new CompletionRecorder(parts);
 		this.#gate = new QuotaGate({
 			...parts,
 			random: Math.random,
@@ -75,7 +75,7 @@
 
 	/** Takes that a request is broken off as the gateway stops. */
 	noteCut(request: GatewayRequest): void {
-		this.#ends.recordCut(request);
+		this.#ends.recordAborted(request);
 	}
 
 	/** Refuses what has not reached the dispatcher. */
