--- a/apps/valelead-daemon/src/gateway/crash-events.ts
+++ b/apps/valelead-daemon/src/gateway/crash-callbacks.ts
@@ -1,5 +1,5 @@
 /** What the judgement on crashed upstreams asks its gateway, and tells it. */
-export type CrashEvents = {
+export type CrashCallbacks = {
 	/** Time since the leader was heard, in milliseconds. */
 	readonly getLeaderAgeMs: () => number;
 	/** Whether nobody listens at an address any more. */
--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -13,10 +13,10 @@
 import {getRequestFingerprint} from './get-request-fingerprint.js';
 import {RequestQuarantine} from './request-quarantine.js';
 import type {AttemptEnd} from './attempt-end.js';
-import type {CrashEvents} from './crash-events.js';
+import type {CrashCallbacks} from './crash-callbacks.js';
 import type {GatewayRequest} from './gateway-request.js';
 
-type GuardParts = CrashEvents & {
+type GuardParts = CrashCallbacks & {
 	readonly clock: Clock;
 	readonly timers: TimerService;
 	readonly logger: Logger;
--- a/apps/valelead-daemon/src/gateway/request-dispatcher.ts
+++ b/apps/valelead-daemon/src/gateway/request-dispatcher.ts
@@ -25,12 +25,12 @@
 import {UpstreamBook} from './upstream-book.js';
 import type {AttemptEnd} from './attempt-end.js';
 import type {AttemptTerms} from './attempt-terms.js';
-import type {CrashEvents} from './crash-events.js';
+import type {CrashCallbacks} from './crash-callbacks.js';
 import type {EngineLinks} from './engine-links.js';
 import type {GatewayRequest} from './gateway-request.js';
 import type {SentAttempt} from './sent-attempt.js';
 
-type DispatcherParts = CrashEvents & {
+type DispatcherParts = CrashCallbacks & {
 	readonly getSettings: () => AdmissionSettings;
 	readonly codec: CallerCodec;
 	readonly timers: TimerService;
