--- a/apps/valelead-daemon/src/gateway/known-limits.ts
+++ b/apps/valelead-daemon/src/gateway/known-limits.ts
@@ -2,7 +2,7 @@
 import type {UpstreamLimits as LimitList} from '@valelead/protocol';
 import type {LimitSighting} from '@valelead/quota';
 import type {Logger} from 'pino';
-import type {KnownLimit} from './known-limit.js';
+import type {RateLimitEntry} from './rate-limit-entry.js';
 
 type KnownParts = {
 	readonly clock: Clock;
@@ -19,7 +19,7 @@
 /** The limits of upstreams that a gateway knows: from answers, and from a leader that hears of the answers to all gateways. */
 export class KnownLimits {
 	readonly #parts: KnownParts;
-	readonly #known = new Map<string, KnownLimit>();
+	readonly #known = new Map<string, RateLimitEntry>();
 	#term = -1;
 
 	constructor(parts: KnownParts) {
@@ -119,7 +119,7 @@
 		this.#parts.onAdded(upstreamId);
 	}
 
-	#noteSeen(upstreamId: string, known: KnownLimit, perSecond: number | undefined, startedAt: number): void {
+	#noteSeen(upstreamId: string, known: RateLimitEntry, perSecond: number | undefined, startedAt: number): void {
 		// An answer to a request that was sent before may have been made before the limit was named.
 		if (perSecond === undefined && startedAt < known.knownAt) {
 			return;
@@ -148,7 +148,7 @@
 		this.#set(upstreamId, known, isUntold ? Math.min(perSecond, known.perSecond) : perSecond);
 	}
 
-	#set(upstreamId: string, known: KnownLimit, perSecond: number): void {
+	#set(upstreamId: string, known: RateLimitEntry, perSecond: number): void {
 		if (perSecond !== known.perSecond) {
 			this.#log(upstreamId, perSecond, known.perSecond);
 			known.perSecond = perSecond;
--- a/apps/valelead-daemon/src/gateway/known-limit.ts
+++ b/apps/valelead-daemon/src/gateway/rate-limit-entry.ts
@@ -1,5 +1,5 @@
 /** What a gateway knows of the limit of one upstream. Times in its own monotonic milliseconds. */
-export type KnownLimit = {
+export type RateLimitEntry = {
 	/** Requests a second from all gateways together. */
 	perSecond: number;
 	/** Since when it is known here. */
