--- a/apps/valelead-daemon/src/gateway/known-limits.ts
+++ b/apps/valelead-daemon/src/gateway/rate-limit-table.ts
@@ -10,14 +10,14 @@
 	/** Hears of a limit that was not known before. */
 	readonly onAdded: (upstreamId: string) => void;
 	/** Hears that the leader must be told at once. */
-	readonly onNews: () => void;
+	readonly onReportDue: () => void;
 };
 
 /** An upstream that is not in the directory so long after its limit was heard of is gone, in milliseconds. */
 const FORGET_MS = 10_000;
 
 /** The limits of upstreams that a gateway knows: from answers, and from a leader that hears of the answers to all gateways. */
-export class KnownLimits {
+export class RateLimitTable {
 	readonly #parts: KnownParts;
 	readonly #known = new Map<string, RateLimitEntry>();
 	#term = -1;
@@ -57,7 +57,7 @@
 
 		if (perSecond !== undefined) {
 			this.#add(upstreamId, perSecond, undefined);
-			this.#parts.onNews();
+			this.#parts.onReportDue();
 		}
 	}
 
@@ -75,7 +75,7 @@
 	}
 
 	/** Another leader, or a new session, knows nothing of what was told. */
-	tellAgain(): void {
+	markAllUnreported(): void {
 		for (const known of this.#known.values()) {
 			known.toldAt = undefined;
 		}
@@ -129,7 +129,7 @@
 		known.seenAt = this.#parts.clock.now();
 		known.toldAt = undefined;
 		if (perSecond !== known.perSecond) {
-			this.#parts.onNews();
+			this.#parts.onReportDue();
 		}
 
 		if (perSecond !== undefined && perSecond < known.perSecond) {
--- a/apps/valelead-daemon/src/gateway/upstream-limits.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-limits.ts
@@ -6,7 +6,7 @@
 } from '@valelead/quota';
 import type {Logger} from 'pino';
 import type {LimitExchange} from '../follower/limit-exchange.js';
-import {KnownLimits} from './known-limits.js';
+import {RateLimitTable} from './rate-limit-table.js';
 import {getLoanRate} from './get-loan-rate.js';
 import {mutateLoanRate} from './mutate-loan-rate.js';
 import type {LoanRate} from './loan-rate.js';
@@ -50,7 +50,7 @@
  */
 export class UpstreamLimits implements LimitExchange {
 	readonly #parts: LimitsParts;
-	readonly #known: KnownLimits;
+	readonly #known: RateLimitTable;
 	readonly #stock = newQuotaStock();
 	/** Until when nothing is asked for, by upstream: the leader has been asked, or had nothing. */
 	readonly #quietUntil = new Map<string, number>();
@@ -58,7 +58,7 @@
 
 	constructor(parts: LimitsParts) {
 		this.#parts = parts;
-		this.#known = new KnownLimits({
+		this.#known = new RateLimitTable({
 			clock: parts.clock,
 			logger: parts.logger,
 			onAdded: upstreamId => {
@@ -66,7 +66,7 @@
 				mutateDemand(this.#stock, upstreamId, REQUEST_COST, this.#now);
 				parts.onChange();
 			},
-			onNews: parts.onNeed,
+			onReportDue: parts.onNeed,
 		});
 		parts.timers.repeat(TICK_MS, () => {
 			this.noteWaiting();
@@ -134,7 +134,7 @@
 		if (isFirst) {
 			mutateSession(this.#stock);
 			this.#quietUntil.clear();
-			this.#known.tellAgain();
+			this.#known.markAllUnreported();
 		}
 
 		const now = this.#now;
@@ -147,7 +147,7 @@
 	take({limits, grant, reportedAt}: Parameters<LimitExchange['take']>[0]): void {
 		if (limits && this.#known.takeList(limits, reportedAt)) {
 			this.#quietUntil.clear();
-			this.#known.tellAgain();
+			this.#known.markAllUnreported();
 			this.#parts.onNeed();
 		}
 
