--- a/apps/valelead-daemon/src/gateway/active-attempts.ts
+++ b/apps/valelead-daemon/src/gateway/active-attempts.ts
@@ -6,7 +6,7 @@
 import type {CallerCodec} from '../adapter/caller-codec.js';
 import {AnswerPipe} from './answer-pipe.js';
 import {getAttemptTimeout} from './get-attempt-timeout.js';
-import {mutatePart} from './mutate-part.js';
+import {mutateChunkTimes} from './mutate-chunk-times.js';
 import {newAttemptEnd} from './new-attempt-end.js';
 import type {ResponseHead} from './response-head.js';
 import type {AttemptEnd} from './attempt-end.js';
@@ -117,7 +117,7 @@
 			},
 			onHead: answer => this.#start(request, {attemptId, upstream}, answer),
 			onData: (chunk: Buffer) => {
-				mutatePart(request, this.#parts.clock.now());
+				mutateChunkTimes(request, this.#parts.clock.now());
 				request.answerBytes += chunk.length;
 				this.#pipes.get(attemptId)?.data(chunk);
 			},
--- a/apps/valelead-daemon/src/gateway/completion-recorder.ts
+++ b/apps/valelead-daemon/src/gateway/completion-recorder.ts
@@ -43,7 +43,7 @@
 		this.#parts.metrics.stopCuts.inc({arrived: isLate ? 'after' : 'before'});
 	}
 
-	#measure({caller, route, arrivedAt, dispatchedAt, firstPartAt}: GatewayRequest, code: ResultCodeValue, now: number): void {
+	#measure({caller, route, arrivedAt, dispatchedAt, firstChunkAt: firstPartAt}: GatewayRequest, code: ResultCodeValue, now: number): void {
 		const {metrics} = this.#parts;
 		const labels = {team: metrics.getTeamLabel(caller.team?.name ?? ''), class: route.name};
 		metrics.results.inc({...labels, code});
@@ -59,7 +59,7 @@
 	}
 
 	#log(request: GatewayRequest, end: {readonly code: ResultCodeValue; readonly outcome: OutcomeValue; readonly reason: string}, now: number): void {
-		const {caller, route, head, arrivedAt, dispatchedAt, firstPartAt} = request;
+		const {caller, route, head, arrivedAt, dispatchedAt, firstChunkAt: firstPartAt} = request;
 		this.#parts.logger.info({
 			event: 'request-ended',
 			requestId: head.id,
--- a/apps/valelead-daemon/src/gateway/gateway-request.ts
+++ b/apps/valelead-daemon/src/gateway/gateway-request.ts
@@ -36,8 +36,8 @@
 	attempts: number;
 	/** The last event that was passed on whole, where the stream may be resumed. */
 	lastEventId: string | undefined;
-	firstPartAt: number | undefined;
-	lastPartAt: number;
+	firstChunkAt: number | undefined;
+	lastChunkAt: number;
 	longestPauseMs: number;
 	/** How the end of the newest answer of an upstream is known, and the bytes of its body that have come. */
 	answerFraming: AnswerFramingValue | undefined;
--- a/apps/valelead-daemon/src/gateway/mutate-part.ts
+++ b/apps/valelead-daemon/src/gateway/mutate-chunk-times.ts
@@ -1,12 +1,12 @@
 import type {GatewayRequest} from './gateway-request.js';
 
 /** Notes when a part of the answer came, and the longest pause between two of them. */
-export const mutatePart = (request: GatewayRequest, now: number): void => {
-	if (request.firstPartAt === undefined) {
-		request.firstPartAt = now;
+export const mutateChunkTimes = (request: GatewayRequest, now: number): void => {
+	if (request.firstChunkAt === undefined) {
+		request.firstChunkAt = now;
 	} else {
-		request.longestPauseMs = Math.max(request.longestPauseMs, now - request.lastPartAt);
+		request.longestPauseMs = Math.max(request.longestPauseMs, now - request.lastChunkAt);
 	}
 
-	request.lastPartAt = now;
+	request.lastChunkAt = now;
 };
