--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -6,7 +6,7 @@
 import type {Logger} from 'pino';
 import type {CrashExchange} from '../follower/crash-exchange.js';
 import type {StallWatch} from '../stall-watch.js';
-import {OTHERS_LEASES_MS} from './others-leases-ms.js';
+import {PEER_LEASES_EXPIRY_MS} from './peer-leases-expiry-ms.js';
 import {CONNECTION_END} from './connection-end.js';
 import {CrashObserver} from './crash-observer.js';
 import {HeldLosses} from './held-losses.js';
@@ -42,7 +42,7 @@
  * What had just begun is held until the leases of other gateways are out, which they may have got until a leader noticed that this one is away. An upstream
  * that came back unnoticed has announced its next run by then. Later than the leader's age here, other gateways do not reckon with this one any more.
  */
-const BEGUN_LIMIT: HoldLimit = {mostMs: OTHERS_LEASES_MS, leaderAgeMs: 10_000};
+const BEGUN_LIMIT: HoldLimit = {mostMs: PEER_LEASES_EXPIRY_MS, leaderAgeMs: 10_000};
 
 /** Keeps requests that crash upstreams from them: follows which requests lose upstreams, and knows which must not be sent. */
 export class CrashGuard {
@@ -157,7 +157,7 @@
 		}
 
 		const heldAt = this.#parts.clock.now();
-		const getMoreMs = () => this.#observer.isCrashed(id) ? this.#quarantine.othersEndInMs : 0;
+		const getMoreMs = () => this.#observer.isCrashed(id) ? this.#quarantine.peerLeasesExpireInMs : 0;
 		this.#losses.hold({
 			runId: id, isCrashed: this.#observer.isCrashed(id), mostMs, ...(hadBegun && {getMoreMs}),
 		}, isAlive => {
--- a/apps/valelead-daemon/src/gateway/crash-lease.ts
+++ b/apps/valelead-daemon/src/gateway/crash-lease.ts
@@ -1,6 +1,6 @@
 import {type Clock, type SuspensionWatch, LeaseEnd} from '@valelead/common';
 import {BEGUN_CRASHES, CRASH_LEASE_MS} from '@valelead/quarantine';
-import {OTHERS_LEASES_MS} from './others-leases-ms.js';
+import {PEER_LEASES_EXPIRY_MS} from './peer-leases-expiry-ms.js';
 
 type LeaseParts = {
 	readonly clock: Clock;
@@ -27,8 +27,8 @@
 	}
 
 	/** Until no gateway goes by a lease that it got while this one had its own, in milliseconds; 0 once that is so. */
-	get othersEndInMs(): number {
-		return Math.max(0, this.#end.at - CRASH_LEASE_MS + OTHERS_LEASES_MS - this.#parts.clock.now());
+	get peerLeasesExpireInMs(): number {
+		return Math.max(0, this.#end.at - CRASH_LEASE_MS + PEER_LEASES_EXPIRY_MS - this.#parts.clock.now());
 	}
 
 	/** Upstreams that this gateway may lose to one request without a lease, while each other gateway may lose one: it knows of no crash there. */
--- a/apps/valelead-daemon/src/gateway/others-leases-ms.ts
+++ b/apps/valelead-daemon/src/gateway/peer-leases-expiry-ms.ts
@@ -4,4 +4,4 @@
 const NOTICE_MS = 500;
 
 /** After this time no gateway goes by a lease that it got while this one could have had its own, in milliseconds. */
-export const OTHERS_LEASES_MS = (2 * CRASH_LEASE_MS) + NOTICE_MS;
+export const PEER_LEASES_EXPIRY_MS = (2 * CRASH_LEASE_MS) + NOTICE_MS;
--- a/apps/valelead-daemon/src/gateway/request-quarantine.ts
+++ b/apps/valelead-daemon/src/gateway/request-quarantine.ts
@@ -117,8 +117,8 @@
 	}
 
 	/** Until no gateway sends by what it knew before a crash that this one has noted now, in milliseconds; 0 without a leader for that long. */
-	get othersEndInMs(): number {
-		return this.#suspects.othersEndInMs;
+	get peerLeasesExpireInMs(): number {
+		return this.#suspects.peerLeasesExpireInMs;
 	}
 
 	/** Why a request is not sent; undefined where it may be. */
--- a/apps/valelead-daemon/src/gateway/suspected-requests.ts
+++ b/apps/valelead-daemon/src/gateway/suspected-requests.ts
@@ -40,8 +40,8 @@
 	}
 
 	/** Until no gateway sends by what it knew before a crash that this one has noted now, in milliseconds; 0 without a leader for that long. */
-	get othersEndInMs(): number {
-		return this.#lease.othersEndInMs;
+	get peerLeasesExpireInMs(): number {
+		return this.#lease.peerLeasesExpireInMs;
 	}
 
 	/** The requests that the present leader suspects. */
