--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -73,7 +73,7 @@
 					parts.onCrash();
 				}
 			},
-			onAlive: upstreamId => {
+			onReachable: upstreamId => {
 				this.#losses.noteAlive(upstreamId);
 			},
 		});
@@ -120,7 +120,7 @@
 			}
 
 			case CONNECTION_END.Refused: {
-				this.#observer.noteRefused(upstream.id);
+				this.#observer.recordRefusedConnection(upstream.id);
 				passOn(false);
 				break;
 			}
@@ -148,7 +148,7 @@
 		const isSuspected = this.#quarantine.isSuspected(fingerprint);
 		const mostMs = isPossibleCause ? this.#getHoldMs(hadBegun) : 0;
 		if (!isServedLately) {
-			this.#observer.noteBroken({upstreamId: id, address, suspect: {fingerprint, phase}});
+			this.#observer.recordBrokenConnection({upstreamId: id, address, suspect: {fingerprint, phase}});
 		}
 
 		if (mostMs === 0) {
--- a/apps/valelead-daemon/src/gateway/crash-observer.ts
+++ b/apps/valelead-daemon/src/gateway/crash-observer.ts
@@ -18,7 +18,7 @@
 	/** Hears of an upstream that crashed, and again when more requests turn out to have been there. */
 	readonly onCrash: (run: WatchedRun, isFirst: boolean) => void;
 	/** Hears that somebody listens at the address of an upstream to which connections broke. */
-	readonly onAlive: (upstreamId: string) => void;
+	readonly onReachable: (upstreamId: string) => void;
 };
 
 type BrokenRun = {
@@ -61,7 +61,7 @@
 	}
 
 	/** Takes a connection that an upstream broke off in the middle of a request. */
-	noteBroken({upstreamId, address, suspect}: BrokenRun): void {
+	recordBrokenConnection({upstreamId, address, suspect}: BrokenRun): void {
 		if (this.isLeaving(upstreamId)) {
 			return;
 		}
@@ -75,7 +75,7 @@
 	}
 
 	/** Takes that nobody listens at an upstream's address. */
-	noteRefused(upstreamId: string): void {
+	recordRefusedConnection(upstreamId: string): void {
 		this.#end(upstreamId, CRASH_SIGN.Refused);
 	}
 
@@ -94,7 +94,7 @@
 		let isRefused = await this.#parts.isPortRefused(address);
 		if (!isRefused) {
 			if (isSameRun) {
-				this.#parts.onAlive(upstreamId);
+				this.#parts.onReachable(upstreamId);
 			}
 
 			await this.#parts.timers.wait(SECOND_LOOK_MS);
