--- a/apps/valelead-daemon/tests/retry-budget.steps.ts
+++ b/apps/valelead-daemon/tests/retry-budget.steps.ts
@@ -3,11 +3,11 @@
 import {assertNever} from '@valelead/common';
 import fc from 'fast-check';
 import {FAULTY_RETRY_STEP} from './faulty-retry-step.js';
-import {ModelRetries} from './model-retries.js';
+import {RetryModel} from './retry-model.js';
 import {RETRY_STEP} from './retry-step.js';
 
 type RetryWorld = {
-	retries: ModelRetries;
+	retries: RetryModel;
 	/** Repeats before the failures began. */
 	before: number;
 };
@@ -22,7 +22,7 @@
 
 const HISTORY_STEPS = 40;
 
-const play = (model: ModelRetries, step: Step): void => {
+const play = (model: RetryModel, step: Step): void => {
 	switch (step.kind) {
 		case 'pass': {
 			model.pass(step.ms, step.share);
@@ -91,7 +91,7 @@
 };
 
 Given('{int} gateways whose leader has counted them', function (this: RetryWorld, gateways: number) {
-	this.retries = new ModelRetries(gateways);
+	this.retries = new RetryModel(gateways);
 	this.retries.pass(WARM_UP_MS, 0);
 	this.before = this.retries.repeats;
 });
@@ -101,7 +101,7 @@
 
 const EARLY_STEPS = 15;
 
-const newFirstStart = (gateways: number, isFirstShared: boolean): ModelRetries => new ModelRetries(gateways, {hasRouting: false, isFirstShared});
+const newFirstStart = (gateways: number, isFirstShared: boolean): RetryModel => new RetryModel(gateways, {hasRouting: false, isFirstShared});
 
 /** The most repeats over the budget in a random history that begins with the first start of an installation. */
 const playFirstStart = (gateways: number, isFirstShared: boolean, before: readonly Step[], after: readonly Step[]): number => {
@@ -185,7 +185,7 @@
 
 Then('in {int} random histories with {int} gateways the service gets no more repeats than its budget allows', {timeout: 60_000}, (runs: number, gateways: number) => {
 	fc.assert(fc.property(fc.array(RETRY_STEP, {minLength: 10, maxLength: HISTORY_STEPS, size: 'max'}), steps => {
-		const model = new ModelRetries(gateways);
+		const model = new RetryModel(gateways);
 		model.pass(WARM_UP_MS, 0);
 		for (const step of steps) {
 			play(model, step);
--- a/apps/valelead-daemon/tests/model-retries.ts
+++ b/apps/valelead-daemon/tests/retry-model.ts
@@ -62,7 +62,7 @@
 const NO_SUSPENSIONS = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 
 /** Gateways that send requests to one service, some of which fails, with the shipped budget and the shipped ways to count gateways. */
-export class ModelRetries {
+export class RetryModel {
 	readonly ticks: Tick[] = [];
 	#now = 0;
 	#nextId = 1;
