--- a/apps/valelead-daemon/tests/broken-answers.steps.ts
+++ b/apps/valelead-daemon/tests/broken-answers.steps.ts
@@ -5,11 +5,11 @@
 import {
 	OUTCOME, RESULT_CODE, SYSTEM_CLOCK, TimerService,
 } from '@valelead/common';
-import {askRaw} from './ask-raw.js';
+import {sendRawRequest} from './send-raw-request.js';
 import {CallerAnswer, StreamSink} from 'valelead-daemon';
 
 type BrokenWorld = {
-	sight: Awaited<ReturnType<typeof askRaw>>;
+	sight: Awaited<ReturnType<typeof sendRawRequest>>;
 };
 
 /** More than is held for a slow caller, in bytes. */
@@ -56,7 +56,7 @@
 };
 
 When('a caller of HTTP {} gets a part of {string}, which is then broken off', async function (this: BrokenWorld, version: string, answer: string) {
-	this.sight = await askRaw(version, BROKEN[answer]);
+	this.sight = await sendRawRequest(version, BROKEN[answer]);
 });
 
 Then('the caller sees a reset', function (this: BrokenWorld) {
@@ -69,7 +69,7 @@
 });
 
 When('an entry passes on {string} of a stream that then breaks', async function (this: BrokenWorld, part: string) {
-	this.sight = await askRaw('1.0', response => {
+	this.sight = await sendRawRequest('1.0', response => {
 		const sink = newSink(response);
 		sink.data(Buffer.from(part.replaceAll(String.raw`\n`, '\n')));
 		sink.refuse(REFUSAL);
--- a/apps/valelead-daemon/tests/ask-raw.ts
+++ b/apps/valelead-daemon/tests/send-raw-request.ts
@@ -2,23 +2,23 @@
 import {createServer, type ServerResponse} from 'node:http';
 import {type AddressInfo, connect} from 'node:net';
 
-type CallerSight = {
+type CallerView = {
 	readonly text: string;
 	/** How the connection ended. */
 	readonly end: 'closed' | 'reset';
 };
 
 /** Asks over a plain connection, with an answer that a function writes, and resolves with what the caller sees. */
-export const askRaw = async (version: string, answer: (response: ServerResponse) => void): Promise<CallerSight> => {
+export const sendRawRequest = async (version: string, answer: (response: ServerResponse) => void): Promise<CallerView> => {
 	const server = createServer((_message, response) => {
 		answer(response);
 	});
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	const socket = connect((server.address() as AddressInfo).port, '127.0.0.1');
-	const sight = new Promise<CallerSight>(resolve => {
+	const sight = new Promise<CallerView>(resolve => {
 		let text = '';
-		let end: CallerSight['end'] = 'closed';
+		let end: CallerView['end'] = 'closed';
 		socket.on('data', chunk => {
 			text += chunk.toString();
 		});
