--- a/apps/valelead-daemon/src/gateway/active-attempts.ts
+++ b/apps/valelead-daemon/src/gateway/active-attempts.ts
@@ -18,37 +18,37 @@
 type AttemptsParts = {
 	readonly codec: CallerCodec;
 	readonly clock: Clock;
-	/** Sends a request to an upstream. */
+	/** Starts an attempt, which sends the request to the upstream. */
 	readonly newAttempt: (terms: AttemptTerms) => SentAttempt;
-	/** The connections to an upstream. */
+	/** Returns the connection pool of an upstream. */
 	readonly getAgent: (upstreamId: string, service: string) => UpstreamAgent;
-	/** An upstream has answered, whatever it said. */
+	/** Called for each response head and each complete response of an upstream, whatever the status. */
 	readonly onAnswer: (upstreamId: string) => void;
 	/**
-	 * An upstream has answered, and named a limit of requests a second or none.
-	 * @param startedAt - When the answered request was sent, in monotonic milliseconds.
+	 * Called for each response with the upstream's rate limit in requests per second, or undefined if the response states none.
+	 * @param startedAt - When the request of this response was sent, in monotonic milliseconds.
 	 */
 	readonly onLimit: (upstreamId: string, perSecond: number | undefined, startedAt: number) => void;
-	/** A stream has begun. */
+	/** Called when a streamed response begins. */
 	readonly onStarted: (request: GatewayRequest, attemptId: string) => void;
-	/** The whole answer has come; `passOn` gives its end to the caller. */
+	/** Called when the response is complete; `passOn` forwards its end to the caller. */
 	readonly onEnded: (request: GatewayRequest, attemptId: string, passOn: () => void) => void;
 	readonly onFailed: (request: GatewayRequest, attemptId: string, upstream: Upstream, end: AttemptEnd) => void;
-	/** An attempt is ended before its answer was complete, as nobody waits for it any more. */
+	/** Called when an attempt is cancelled before its response is complete, because no caller waits for it any more. */
 	readonly onCancelled: (attempt: SentAttempt) => void;
 };
 
-type Sending = {
+type AttemptTarget = {
 	readonly attemptId: string;
 	readonly upstream: Upstream;
-	/** What is left of the request's time, in milliseconds. */
+	/** Time left until the request's deadline, in milliseconds. */
 	readonly remainingMs: number;
 };
 
 const HTTP_OK = 200;
 const HTTP_SERVER_ERROR = 500;
 
-/** The sendings of a gateway's requests that are in progress, and the ways back to their callers. */
+/** Tracks the attempts of a gateway that are in progress and forwards their responses to the callers. */
 export class ActiveAttempts {
 	readonly #parts: AttemptsParts;
 	readonly #sent = new Map<string, SentAttempt>();
@@ -58,7 +58,7 @@
 		this.#parts = parts;
 	}
 
-	send(request: GatewayRequest, sending: Sending): void {
+	send(request: GatewayRequest, sending: AttemptTarget): void {
 		const {codec, clock, newAttempt, getAgent} = this.#parts;
 		const {attemptId, upstream, remainingMs} = sending;
 		const startedAt = clock.now();
@@ -80,7 +80,7 @@
 		this.#sent.set(attemptId, attempt);
 	}
 
-	/** Ends an attempt at its upstream, without a word to anybody. */
+	/** Cancels an attempt at its upstream without calling `onFailed`. */
 	cancel(attemptId: string): void {
 		const attempt = this.#sent.get(attemptId);
 		if (attempt) {
@@ -90,7 +90,7 @@
 		this.#forget(attemptId);
 	}
 
-	/** Ends all attempts at their upstreams. */
+	/** Cancels all attempts at their upstreams. */
 	cancelAll(): void {
 		for (const attempt of this.#sent.values()) {
 			this.#cancel(attempt);
@@ -98,8 +98,8 @@
 	}
 
 	/**
-	 * Gives up the attempts that take too long.
-	 * @param getElsewhere - The request of an attempt where another upstream could take it, or undefined.
+	 * Fails the attempts that have timed out.
+	 * @param getElsewhere - Returns the request of an attempt if another upstream could serve it, or undefined.
 	 */
 	giveUpOverdue(now: number, getElsewhere: (attemptId: string) => GatewayRequest | undefined): void {
 		for (const [attemptId, attempt] of this.#sent) {
@@ -110,7 +110,7 @@
 		}
 	}
 
-	#newEvents(request: GatewayRequest, {attemptId, upstream}: Sending, startedAt: number): AttemptTerms['events'] {
+	#newEvents(request: GatewayRequest, {attemptId, upstream}: AttemptTarget, startedAt: number): AttemptTerms['events'] {
 		return {
 			onLimit: perSecond => {
 				this.#parts.onLimit(upstream.id, perSecond, startedAt);
@@ -135,8 +135,8 @@
 		};
 	}
 
-	/** Takes the head of an answer; returns whether the rest is wanted. */
-	#start(request: GatewayRequest, sending: Omit<Sending, 'remainingMs'>, answer: ResponseHead): boolean {
+	/** Handles the head of a response; returns true if the body is to be delivered, and false if the attempt fails because of the status. */
+	#start(request: GatewayRequest, sending: Omit<AttemptTarget, 'remainingMs'>, answer: ResponseHead): boolean {
 		const status = answer.statusCode ?? 0;
 		this.#parts.onAnswer(sending.upstream.id);
 		request.answerFraming = getAnswerFraming({method: request.method, status, headers: answer.headers});
@@ -156,7 +156,7 @@
 		return true;
 	}
 
-	#fail(request: GatewayRequest, {attemptId, upstream}: Omit<Sending, 'remainingMs'>, end: AttemptEnd): void {
+	#fail(request: GatewayRequest, {attemptId, upstream}: Omit<AttemptTarget, 'remainingMs'>, end: AttemptEnd): void {
 		this.#forget(attemptId);
 		this.#parts.onFailed(request, attemptId, upstream, end);
 	}
--- a/apps/valelead-daemon/src/gateway/answer-pipe.ts
+++ b/apps/valelead-daemon/src/gateway/answer-pipe.ts
@@ -7,7 +7,7 @@
 
 const HTTP_OK = 200;
 
-/** Passes one upstream's answer on to the caller. Streams go on as they come; other answers once they are whole. */
+/** Forwards an upstream's response to the caller. Streams are forwarded as they arrive; other responses are buffered until they are complete. */
 export class AnswerPipe {
 	readonly #request: GatewayRequest;
 	readonly #status: number;
@@ -43,7 +43,7 @@
 		}
 	}
 
-	/** The upstream's answer is whole. */
+	/** Forwards the end of a complete response. */
 	end(): void {
 		const {answer} = this.#request;
 		if (!this.#isStream) {
@@ -58,7 +58,7 @@
 		answer.end(rest && rest.length > 0 ? rest : undefined);
 	}
 
-	/** The head goes out with the first event, so that an attempt that breaks before it leaves nothing behind. */
+	/** Sends the response head only with the first event, so that an attempt that fails earlier can be retried without a trace at the caller. */
 	#write(bytes: Buffer): void {
 		this.#startOnce();
 		this.#request.answer.data(bytes);
--- a/apps/valelead-daemon/src/gateway/answer.ts
+++ b/apps/valelead-daemon/src/gateway/answer.ts
@@ -1,21 +1,21 @@
 import type {Buffer} from 'node:buffer';
 import type {Refusal} from '../entry/refusal.js';
 
-/** The way to one caller for the single answer that it gets. */
+/** Writes the single response that a caller gets to its request. */
 export type Answer = {
-	/** Whether the status has been written, so that another answer is no longer possible. */
+	/** True once the status line has been written, after which no other response can be sent. */
 	readonly isStarted: boolean;
 	readonly isEnded: boolean;
-	/** Whether the caller is known to have ended its connection. */
+	/** True if the caller is known to have closed its connection. */
 	readonly isCallerGone: boolean;
 	/**
-	 * Writes the head of an upstream's answer.
-	 * @param rawHeaders - Headers that go on, as name, value, name, value …
-	 * @param length - The length of the body in bytes, or undefined where it is not known yet.
+	 * Writes the status and headers of an upstream's response.
+	 * @param rawHeaders - Headers to forward, as name, value, name, value …
+	 * @param length - The length of the body in bytes, or undefined if it is not known yet.
 	 */
 	readonly start: (status: number, rawHeaders: readonly string[], length: number | undefined) => void;
 	readonly data: (chunk: Buffer) => void;
 	readonly end: (chunk?: Buffer) => void;
-	/** Gives the final answer where no upstream's can be given. */
+	/** Sends an error response when no response of an upstream is available. */
 	readonly refuse: (refusal: Refusal) => void;
 };
--- a/apps/valelead-daemon/src/gateway/attempt-end.ts
+++ b/apps/valelead-daemon/src/gateway/attempt-end.ts
@@ -2,12 +2,12 @@
 import type {SuspectPhaseValue} from '@valelead/quarantine';
 import type {ConnectionEndValue} from './connection-end-value.js';
 
-/** How an attempt ended that gave no whole answer. */
+/** An attempt that ended without a complete response: the error, the state of its connection and how far the upstream had got. */
 export type AttemptEnd = {
 	readonly code: ResultCodeValue;
 	readonly outcome: OutcomeValue;
 	readonly reason: string;
 	readonly connection: ConnectionEndValue;
-	/** How far the upstream had come with the request. */
+	/** The progress that the upstream had visibly made on the request. */
 	readonly phase: SuspectPhaseValue;
 };
--- a/apps/valelead-daemon/src/gateway/attempt-terms.ts
+++ b/apps/valelead-daemon/src/gateway/attempt-terms.ts
@@ -4,29 +4,29 @@
 import type {AttemptEnd} from './attempt-end.js';
 import type {UpstreamAgent} from './upstream-agent.js';
 
-/** What an attempt tells its gateway. After onEnd or onFailure nothing more comes. */
+/** Callbacks of an attempt. After `onEnd` or `onFailure` none is called any more. */
 type AttemptEvents = {
-	/** Any answer of the upstream; the requests a second that it takes from all gateways together, undefined where it names no limit. */
+	/** Called with the rate limit of each response, in requests per second over all gateways; undefined if the response states none. */
 	readonly onLimit: (perSecond: number | undefined) => void;
-	/** The head of the answer; returns whether the answer is wanted. */
+	/** Called with the head of the response; returns true if the body is to be delivered. */
 	readonly onHead: (answer: ResponseHead) => boolean;
 	readonly onData: (chunk: Buffer) => void;
-	/** The whole answer has come. */
+	/** Called once the response is complete. */
 	readonly onEnd: () => void;
 	readonly onFailure: (end: AttemptEnd) => void;
 };
 
-/** One sending of a request: what is sent where, and who is told. */
+/** Options of one attempt to send a request to an upstream: the target, the content and the callbacks. */
 export type AttemptTerms = {
 	readonly requestId: string;
 	readonly upstreamId: string;
-	/** IP number and port. */
+	/** IP address and port of the upstream. */
 	readonly address: string;
 	readonly agent: UpstreamAgent;
 	readonly codec: CallerCodec;
 	readonly method: string;
 	readonly url: string;
-	/** Name, value, name, value … without the length. */
+	/** Headers as name, value, name, value …, without Content-Length. */
 	readonly headers: readonly string[];
 	readonly body: Buffer;
 	readonly startedAt: number;
--- a/apps/valelead-daemon/src/gateway/caller-answer.ts
+++ b/apps/valelead-daemon/src/gateway/caller-answer.ts
@@ -9,16 +9,16 @@
 type AnswerParts = {
 	readonly response: ServerResponse;
 	readonly requestId: string;
-	/** Whether the connection must end after this answer. */
+	/** Returns true if the connection must be closed after this response. */
 	readonly isLast: () => boolean;
 };
 
-/** What is held for one slow caller at most, in bytes. */
+/** The most response data that is buffered for one slow caller before its connection is reset, in bytes. */
 const MAX_BUFFERED_BYTES = 1_048_576;
 
 const MS_PER_SECOND = 1000;
 
-/** The answer to one caller: an upstream's, unchanged, or a refusal of the gateway's own. */
+/** Writes the response to one caller over HTTP: either the unchanged response of an upstream or an error response of the gateway. */
 export class CallerAnswer implements Answer {
 	readonly #parts: AnswerParts;
 	#isEnded = false;
@@ -27,7 +27,7 @@
 		this.#parts = parts;
 	}
 
-	/** Whether the status has been written, so that another answer is no longer possible. */
+	/** True once the status line has been written, after which no other response can be sent. */
 	get isStarted(): boolean {
 		return this.#parts.response.headersSent;
 	}
@@ -42,9 +42,9 @@
 	}
 
 	/**
-	 * Writes the head of an upstream's answer.
-	 * @param rawHeaders - Headers that go on, as name, value, name, value …
-	 * @param length - The length of the body in bytes, or undefined where it is not known yet.
+	 * Writes the status and headers of an upstream's response.
+	 * @param rawHeaders - Headers to forward, as name, value, name, value …
+	 * @param length - The length of the body in bytes, or undefined if it is not known yet.
 	 */
 	start(status: number, rawHeaders: readonly string[], length: number | undefined): void {
 		const {response} = this.#parts;
@@ -77,7 +77,7 @@
 		this.#parts.response.end(chunk);
 	}
 
-	/** Gives the final answer where no upstream's can be given. An answer that has begun is broken off, so that it does not look whole. */
+	/** Sends an error response. A response that has already begun is aborted instead, so that the caller does not take it for complete. */
 	refuse(refusal: Refusal): void {
 		const {response, requestId} = this.#parts;
 		this.#isEnded = true;
--- a/apps/valelead-daemon/src/gateway/caller.ts
+++ b/apps/valelead-daemon/src/gateway/caller.ts
@@ -1,11 +1,11 @@
 import type {Team} from '@valelead/routing';
 
-/** Who sent a request, as its key shows. */
+/** The sender of a request, as identified by its API key. */
 export type Caller = {
-	/** Undefined where callers have no keys, or this one needs none and sent none that is known. */
+	/** Undefined if the routing defines no teams, or if the route is open and the request has no known key. */
 	readonly team: Team | undefined;
-	/** 0 is the most urgent. */
+	/** Priority of the request; 0 is the most urgent. */
 	readonly rank: number;
-	/** What the request counts of the team's quota; 0 where it has none. */
+	/** Units that the request uses of the team's quota; 0 if the team has no quota. */
 	readonly cost: number;
 };
--- a/apps/valelead-daemon/src/gateway/completion-recorder.ts
+++ b/apps/valelead-daemon/src/gateway/completion-recorder.ts
@@ -8,9 +8,9 @@
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
-	/** Time since the leader was heard, in milliseconds. */
+	/** Returns the time since the last message of the leader, in milliseconds. */
 	readonly getRoutingAgeMs: () => number;
-	/** Undefined until the gateway is told to stop. */
+	/** Returns the grace period of the shutdown, or undefined before the stop signal. */
 	readonly getGrace: () => GracePeriod | undefined;
 };
 
@@ -22,7 +22,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Records how requests ended, in metrics by team and class and in one line of the log each. */
+/** Records the end of each request in the metrics, by team and class, and in one log line. */
 export class CompletionRecorder {
 	readonly #parts: RecorderParts;
 
@@ -36,7 +36,7 @@
 		this.#log(request, {code, outcome, reason}, now);
 	}
 
-	/** A request is broken off at the end of the grace period. */
+	/** Counts a request that is aborted at the end of the grace period. */
 	recordAborted({arrivedAt}: GatewayRequest): void {
 		const grace = this.#parts.getGrace();
 		const isLate = grace !== undefined && arrivedAt >= grace.startedAt;
@@ -85,7 +85,10 @@
 		}, 'request ended');
 	}
 
-	/** How long after the stop signal a request came, and what was left of the grace period, beyond its own deadline and when it was sent. */
+	/**
+	 * Returns the log fields of a shutdown, in milliseconds: the time from the stop signal to the arrival of the request, from its deadline to the end
+	 * of the grace period, and from its dispatch to the end of the grace period. Empty before the stop signal.
+	 */
 	#getStopFields({arrivedAt, deadlineAt, dispatchedAt}: GatewayRequest): StopFields {
 		const grace = this.#parts.getGrace();
 		if (!grace) {
--- a/apps/valelead-daemon/src/gateway/connection-end-value.ts
+++ b/apps/valelead-daemon/src/gateway/connection-end-value.ts
@@ -1,4 +1,4 @@
 import type {CONNECTION_END} from './connection-end.js';
 
-/** One of the ways in which a connection to an upstream ends. */
+/** A state of the connection to an upstream after an attempt failed on it. */
 export type ConnectionEndValue = (typeof CONNECTION_END)[keyof typeof CONNECTION_END];
--- a/apps/valelead-daemon/src/gateway/connection-end.ts
+++ b/apps/valelead-daemon/src/gateway/connection-end.ts
@@ -1,9 +1,9 @@
-/** What became of the connection to an upstream when a request on it failed. */
+/** States of the connection to an upstream after an attempt failed on it. */
 export const CONNECTION_END = {
-	/** Still in order, or closed by the gateway. */
+	/** The connection still works, or the gateway closed it. */
 	Intact: 'intact',
-	/** Broken by the other side before the answer was whole. */
+	/** The upstream's side closed or reset the connection before the response was complete. */
 	Broken: 'broken',
-	/** Never made: nobody listens at the upstream's address. */
+	/** The connection was never established, as no process listens at the upstream's address. */
 	Refused: 'refused',
 } as const;
--- a/apps/valelead-daemon/src/gateway/crash-callbacks.ts
+++ b/apps/valelead-daemon/src/gateway/crash-callbacks.ts
@@ -1,11 +1,11 @@
-/** What the judgement on crashed upstreams asks its gateway, and tells it. */
+/** Functions of the gateway that the detection and quarantine of crashing requests calls. */
 export type CrashCallbacks = {
-	/** Time since the leader was heard, in milliseconds. */
+	/** Returns the time since the last message of the leader, in milliseconds. */
 	readonly getLeaderAgeMs: () => number;
-	/** Whether nobody listens at an address any more. */
+	/** Resolves with true if no process listens at an address any more. */
 	readonly isPortRefused: (address: string) => Promise<boolean>;
-	/** Hears of upstreams that crashed under requests of this gateway, each once. */
+	/** Called once for each upstream that crashed while it processed requests of this gateway. */
 	readonly onCrash: () => void;
-	/** Hears of what the leader must know of crashed upstreams at once. */
+	/** Called when news of crashed upstreams must be reported to the leader immediately. */
 	readonly onCrashNews: () => void;
 };
--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -22,29 +22,33 @@
 	readonly logger: Logger;
 	readonly stalls: Pick<StallWatch, 'isStalled'>;
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
-	/** Gateways that follow the leader, this one among them. */
+	/** Returns the number of gateways that follow the leader, including this one. */
 	readonly getGatewayCount: () => number;
-	/** Hears that more requests are quarantined. */
+	/** Called when further requests have been quarantined. */
 	readonly onQuarantined: () => void;
 };
 
 type HoldLimit = {
-	/** The longest time that a lost attempt is held while no leader is heard, in milliseconds. */
+	/** The longest time for which the failure of an attempt is held back while no message of the leader arrives, in milliseconds. */
 	readonly mostMs: number;
-	/** A leader that was not heard for longer is not waited for, in milliseconds. */
+	/** The failure is not held back if the last message of the leader is older than this, in milliseconds. */
 	readonly leaderAgeMs: number;
 };
 
-/** What merely waited is held for a look at the port, a report and its way to the gateways that are heard. */
+/**
+ * Limit for attempts without a response. The time covers a probe of the port, a report to the leader and its propagation to the gateways that the
+ * leader hears.
+ */
 const WAITING_LIMIT: HoldLimit = {mostMs: 500, leaderAgeMs: 800};
 
 /**
- * What had just begun is held until the leases of other gateways are out, which they may have got until a leader noticed that this one is away. An upstream
- * that came back unnoticed has announced its next run by then. Later than the leader's age here, other gateways do not reckon with this one any more.
+ * Limit for attempts whose response had just begun. Other gateways may have got leases until a leader noticed that this gateway is disconnected, so
+ * the failure is held back until those leases expire. By then, an upstream that restarted unnoticed has also announced its new run. Once the leader's
+ * last message is older than this limit, other gateways no longer count this gateway.
  */
 const BEGUN_LIMIT: HoldLimit = {mostMs: PEER_LEASES_EXPIRY_MS, leaderAgeMs: 10_000};
 
-/** Keeps requests that crash upstreams from them: follows which requests lose upstreams, and knows which must not be sent. */
+/** Protects upstreams from requests that crash them: records which requests were in progress at each crash and decides which must not be sent. */
 export class CrashGuard {
 	readonly #parts: GuardParts;
 	readonly #quarantine: RequestQuarantine;
@@ -79,7 +83,7 @@
 		});
 	}
 
-	/** Passes crashes on to the leader, and its judgements back. */
+	/** Exchanges crash reports and quarantine decisions with the leader. */
 	get exchange(): CrashExchange {
 		return this.#quarantine;
 	}
@@ -88,12 +92,12 @@
 		return this.#quarantine.size;
 	}
 
-	/** How long a request is quarantined, in milliseconds; 0 where it is not. */
+	/** Returns the time for which a request remains quarantined, in milliseconds; 0 if it is not quarantined. */
 	getQuarantineMs(request: GatewayRequest): number {
 		return this.#quarantine.size === 0 ? 0 : this.#quarantine.getRemainingMs(this.#getFingerprint(request));
 	}
 
-	/** Why a request is kept from upstreams; undefined where it may be sent. */
+	/** Returns the reason for which a request must not be sent, or undefined if it may be sent. */
 	getRefusal(request: GatewayRequest): ReturnType<RequestQuarantine['getRefusal']> {
 		return this.#quarantine.isEmpty ? undefined : this.#quarantine.getRefusal(this.#getFingerprint(request));
 	}
@@ -103,9 +107,10 @@
 	}
 
 	/**
-	 * Takes the end of an attempt that gave no whole answer, and passes it on: at once, or where the upstream may have crashed under the request, once
-	 * all gateways know of it.
-	 * @param passOn - Hears whether no other upstream must be risked with the request. What had merely waited at a first crash keeps its second upstream.
+	 * Handles an attempt that ended without a complete response and passes the failure on. This happens immediately, unless the request may have crashed
+	 * the upstream: then it happens once all gateways know of the crash.
+	 * @param passOn - Called with true if the request must not be sent to another upstream. A request that merely waited at its first crash may still be
+	 * sent to a second upstream.
 	 */
 	noteEnd(request: GatewayRequest, upstream: Upstream, end: AttemptEnd, passOn: (isLast: boolean) => void): void {
 		switch (end.connection) {
@@ -131,7 +136,10 @@
 		}
 	}
 
-	/** Every answer counts, also before anything crashed: what callers ask all the time is at each of several engines that crash at once. */
+	/**
+	 * Records that a request was answered. Every response counts, even before any crash: a request that callers send all the time is in progress at each
+	 * of several engines that crash at the same time, and would otherwise be blamed.
+	 */
 	noteServed(request: GatewayRequest): void {
 		if (this.#quarantine.noteServed(this.#getFingerprint(request))) {
 			this.#parts.onCrashNews();
@@ -141,9 +149,9 @@
 	#noteBroken(request: GatewayRequest, {id, address}: Upstream, {phase}: AttemptEnd, passOn: (isLast: boolean) => void): void {
 		const fingerprint = this.#getFingerprint(request);
 		const isServedLately = this.#quarantine.isServedLately(fingerprint);
-		// What had run for a while, or was answered lately, hardly crashed its upstream.
+		// A request whose response body had begun, or that was answered recently, is unlikely to have crashed its upstream.
 		const isPossibleCause = phase !== SUSPECT_PHASE.Running && !isServedLately && !this.#observer.isLeaving(id);
-		// If it caused the crash, the next upstream would be lost too; if not, it would begin beside the guilty request once more, and look guilty itself.
+		// If the request caused the crash, a retry would crash the next upstream too. If not, it could run beside the actual cause again and be blamed.
 		const hadBegun = isPossibleCause && phase === SUSPECT_PHASE.Begun;
 		const isSuspected = this.#quarantine.isSuspected(fingerprint);
 		const mostMs = isPossibleCause ? this.#getHoldMs(hadBegun) : 0;
@@ -163,15 +171,15 @@
 		}, isAlive => {
 			this.#parts.logger.info({
 				event: 'loss-held', requestId: request.head.id, upstreamId: id, phase, heldMs: Math.round(this.#parts.clock.now() - heldAt),
-			}, 'a lost attempt was held until gateways know what the loss says of its request');
+			}, 'the failure of an attempt was held back until the gateways knew of the possible crash');
 			passOn(isSuspected || (hadBegun && !isAlive) || this.#quarantine.isBlamedByLeader(fingerprint));
 		});
 	}
 
 	/**
-	 * For how long a lost attempt of a request that may have crashed its upstream is held; 0 where no leader was heard for a while. What had just begun is
-	 * probably what crashed the upstream, so it is held until no other gateway can send it without knowing of the crash: they may hear a leader that this
-	 * one does not.
+	 * Returns how long the failure of a request that may have crashed its upstream is held back, in milliseconds; 0 if the leader's last message is too
+	 * old. A request whose response had just begun probably caused the crash, so its failure is held back until no other gateway can send the request
+	 * without knowing of the crash: other gateways may be connected to a leader that this gateway cannot reach.
 	 */
 	#getHoldMs(hadBegun: boolean): number {
 		const {mostMs, leaderAgeMs} = hadBegun ? BEGUN_LIMIT : WAITING_LIMIT;
--- a/apps/valelead-daemon/src/gateway/crash-lease.ts
+++ b/apps/valelead-daemon/src/gateway/crash-lease.ts
@@ -5,13 +5,14 @@
 type LeaseParts = {
 	readonly clock: Clock;
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
-	/** Gateways that share what the leader knows, this one among them. */
+	/** Returns the number of gateways that report to the leader, including this one. */
 	readonly getGatewayCount: () => number;
 };
 
 /**
- * Until when this gateway may go by the leader's word on requests that had begun at a crash. The leader waits for its confirmation of each judgement until
- * the lease is out, so after that it sends such a request only as far as it cannot be the fourth of all gateways to lose an upstream to it.
+ * The lease under which this gateway may rely on the leader's list of requests whose responses had begun at a crash. Until the lease expires, the
+ * leader waits for this gateway to confirm each decision. After that, the gateway sends such a request only if it cannot crash a fourth upstream,
+ * counted over all gateways.
  */
 export class CrashLease {
 	readonly #parts: LeaseParts;
@@ -26,17 +27,23 @@
 		return this.#end.isOver;
 	}
 
-	/** Until no gateway goes by a lease that it got while this one had its own, in milliseconds; 0 once that is so. */
+	/** Time until all leases that other gateways got while this gateway held its own have expired, in milliseconds; 0 once they have. */
 	get peerLeasesExpireInMs(): number {
 		return Math.max(0, this.#end.at - CRASH_LEASE_MS + PEER_LEASES_EXPIRY_MS - this.#parts.clock.now());
 	}
 
-	/** Upstreams that this gateway may lose to one request without a lease, while each other gateway may lose one: it knows of no crash there. */
-	get ownCrashes(): number {
+	/**
+	 * The number of upstreams that this gateway may lose to one request without a lease. Each other gateway may lose one at the same time, because this
+	 * gateway does not learn of crashes there.
+	 */
+	get maxUnleasedCrashes(): number {
 		return Math.max(1, BEGUN_CRASHES + 1 - this.#parts.getGatewayCount());
 	}
 
-	/** @param askedAt - When the report was made that the leader answered, in monotonic milliseconds. */
+	/**
+	 * Renews the lease.
+	 * @param askedAt - When the report that the leader answered was created, in monotonic milliseconds.
+	 */
 	confirm(askedAt: number): void {
 		this.#end.confirm(askedAt);
 	}
--- a/apps/valelead-daemon/src/gateway/crash-observer.ts
+++ b/apps/valelead-daemon/src/gateway/crash-observer.ts
@@ -13,11 +13,11 @@
 	readonly timers: TimerService;
 	readonly logger: Logger;
 	readonly stalls: Pick<StallWatch, 'isStalled'>;
-	/** Whether nobody listens at an address any more. */
+	/** Resolves with true if no process listens at an address any more. */
 	readonly isPortRefused: (address: string) => Promise<boolean>;
-	/** Hears of an upstream that crashed, and again when more requests turn out to have been there. */
+	/** Called when an upstream has crashed, and again when further requests are found to have been in progress there. */
 	readonly onCrash: (run: WatchedRun, isFirst: boolean) => void;
-	/** Hears that somebody listens at the address of an upstream to which connections broke. */
+	/** Called when a process still listens at the address of an upstream whose connections broke. */
 	readonly onReachable: (upstreamId: string) => void;
 };
 
@@ -30,18 +30,18 @@
 const EXPIRY_MS = 1000;
 
 /**
- * An upstream's port is looked at once a connection breaks, and once more after this time, in milliseconds, as connections may break before the
- * port is closed. Without a look a crash shows with the next request sent there, or when the upstream is back after some seconds.
+ * Delay between the two probes of an upstream's port after a connection broke, in milliseconds. Two are needed, as connections may break before the
+ * port is closed. Without probes, a crash would be detected only by the next request to the upstream, or when it is back after some seconds.
  */
-const SECOND_LOOK_MS = 200;
+const SECOND_PROBE_DELAY_MS = 200;
 
-/** Tells an upstream that crashed from a connection that broke alone, and notes which requests were in progress there. */
+/** Distinguishes the crash of an upstream from the loss of a single connection, and records which requests were in progress at each crash. */
 export class CrashObserver {
 	readonly #parts: ObserverParts;
 	readonly #watch: CrashWatch = newCrashWatch();
-	/** Runs whose ports are being looked at. */
-	readonly #looking = new Set<string>();
-	/** Runs that announced their end; what breaks off there is planned. */
+	/** Ids of the upstream runs whose ports are being probed. */
+	readonly #probing = new Set<string>();
+	/** Ids of the upstream runs that announced their shutdown, where broken connections are expected. */
 	#leaving: ReadonlySet<string> = new Set();
 
 	constructor(parts: ObserverParts) {
@@ -51,7 +51,7 @@
 		});
 	}
 
-	/** Whether what breaks off at an upstream is planned. */
+	/** Returns true if an upstream is shutting down, so that broken connections there are expected. */
 	isLeaving(upstreamId: string): boolean {
 		return this.#leaving.has(upstreamId);
 	}
@@ -60,7 +60,7 @@
 		return this.#watch.runs.get(upstreamId)?.isCrashed === true;
 	}
 
-	/** Takes a connection that an upstream broke off in the middle of a request. */
+	/** Records a connection that an upstream closed or reset while a request was in progress on it. */
 	recordBrokenConnection({upstreamId, address, suspect}: BrokenRun): void {
 		if (this.isLeaving(upstreamId)) {
 			return;
@@ -69,12 +69,12 @@
 		const run = mutateBroken(this.#watch, {runId: upstreamId, address, suspect}, this.#parts.clock.now());
 		if (run.isCrashed) {
 			this.#parts.onCrash(run, false);
-		} else if (!this.#looking.has(upstreamId)) {
-			void this.#look(upstreamId, address);
+		} else if (!this.#probing.has(upstreamId)) {
+			void this.#probe(upstreamId, address);
 		}
 	}
 
-	/** Takes that nobody listens at an upstream's address. */
+	/** Records that an upstream's address refused a connection. */
 	recordRefusedConnection(upstreamId: string): void {
 		this.#end(upstreamId, CRASH_SIGN.Refused);
 	}
@@ -87,9 +87,9 @@
 		}
 	}
 
-	async #look(upstreamId: string, address: string): Promise<void> {
-		this.#looking.add(upstreamId);
-		// After a stall of this process the next run of a crashed upstream may be listening already.
+	async #probe(upstreamId: string, address: string): Promise<void> {
+		this.#probing.add(upstreamId);
+		// After a stall of this process, the next run of a crashed upstream may already listen at the address.
 		const isSameRun = !this.#parts.stalls.isStalled;
 		let isRefused = await this.#parts.isPortRefused(address);
 		if (!isRefused) {
@@ -97,11 +97,11 @@
 				this.#parts.onReachable(upstreamId);
 			}
 
-			await this.#parts.timers.wait(SECOND_LOOK_MS);
+			await this.#parts.timers.wait(SECOND_PROBE_DELAY_MS);
 			isRefused = await this.#parts.isPortRefused(address);
 		}
 
-		this.#looking.delete(upstreamId);
+		this.#probing.delete(upstreamId);
 		if (isRefused) {
 			this.#end(upstreamId, CRASH_SIGN.Refused);
 		}
--- a/apps/valelead-daemon/src/gateway/crash-sign.ts
+++ b/apps/valelead-daemon/src/gateway/crash-sign.ts
@@ -1,7 +1,7 @@
-/** What showed that an upstream to which connections had broken is no longer there. */
+/** Kinds of evidence that an upstream whose connections broke has crashed. */
 export const CRASH_SIGN = {
-	/** Nobody listens at its address. */
+	/** No process listens at the upstream's address. */
 	Refused: 'refused',
-	/** Another run announced itself at its address. */
+	/** Another process announced itself at the upstream's address. */
 	Replaced: 'replaced',
 } as const;
--- a/apps/valelead-daemon/src/gateway/gateway-request.ts
+++ b/apps/valelead-daemon/src/gateway/gateway-request.ts
@@ -5,41 +5,41 @@
 import type {Answer} from './answer.js';
 import type {Caller} from './caller.js';
 
-/** One request of a caller at a gateway. Times are monotonic milliseconds. */
+/** A caller's request at a gateway, with its progress. Times are monotonic milliseconds. */
 export type GatewayRequest = {
-	/** The gateway's own id, as callers may send one id twice. */
+	/** The gateway's own id of the request, as callers may reuse an id. */
 	readonly id: string;
 	readonly head: CallerRequest;
 	readonly caller: Caller;
 	readonly host: string;
 	readonly route: Route;
 	readonly service: string;
-	/** What the upstream must offer: the service, or a model or adapter of it. */
+	/** The service, or the model or adapter of it, that the upstream must offer. */
 	readonly target: string;
 	readonly method: string;
 	readonly url: string;
-	/** The caller's headers that go on, as name, value, name, value … */
+	/** The caller's headers that are forwarded, as name, value, name, value … */
 	readonly rawHeaders: readonly string[];
 	readonly body: Buffer;
 	readonly answer: Answer;
 	readonly arrivedAt: number;
-	/** When its final answer is due. */
+	/** The time by which the complete response is due. */
 	readonly deadlineAt: number;
-	/** The version of the routing that decided where it goes. */
+	/** The version of the routing that determined the service. */
 	readonly routingVersion: number;
-	/** Names what is asked; worked out where it is needed. */
+	/** Identifies requests with the same sender and content; undefined until it is first needed. */
 	fingerprint: string | undefined;
 	dispatchedAt: number | undefined;
 	upstreamId: string;
-	/** The engine that was last chosen to load its model while it waited, or empty. */
+	/** The engine that was last chosen to load the model while the request waited, or an empty string. */
 	awaitedUpstreamId: string;
 	attempts: number;
-	/** The last event that was passed on whole, where the stream may be resumed. */
+	/** The id of the last event that was completely forwarded, if the stream can be resumed. */
 	lastEventId: string | undefined;
 	firstChunkAt: number | undefined;
 	lastChunkAt: number;
 	longestPauseMs: number;
-	/** How the end of the newest answer of an upstream is known, and the bytes of its body that have come. */
+	/** How the end of the most recent upstream response is determined (e.g. by its length), and the bytes received of its body. */
 	answerFraming: AnswerFramingValue | undefined;
 	answerBytes: number;
 };
--- a/apps/valelead-daemon/src/gateway/get-attempt-timeout.ts
+++ b/apps/valelead-daemon/src/gateway/get-attempt-timeout.ts
@@ -9,17 +9,17 @@
 	readonly reason: string;
 };
 
-/** A connection that does not come up within this time is given up, in milliseconds. */
+/** The longest time to establish a connection to an upstream, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000;
 
 /**
- * Why an attempt is given up now, or undefined while it may go on.
- * @param request - The request where another upstream could take it, or undefined.
+ * Returns the error with which an attempt times out now, or undefined while it may continue.
+ * @param request - The request of the attempt if another upstream could serve it, or undefined.
  */
 export const getAttemptTimeout = (attempt: SentAttempt, request: GatewayRequest | undefined, now: number): AttemptTimeout | undefined => {
 	const waitedMs = now - attempt.startedAt;
 	if (!attempt.isSent) {
-		return waitedMs > CONNECT_TIMEOUT_MS ? {code: RESULT_CODE.UpstreamUnreachable, reason: 'the connection did not come up'} : undefined;
+		return waitedMs > CONNECT_TIMEOUT_MS ? {code: RESULT_CODE.UpstreamUnreachable, reason: 'the connection was not established in time'} : undefined;
 	}
 
 	const canGoElsewhere = request !== undefined && isRepeatable(request.route) && request.attempts < request.route.maxAttempts;
--- a/apps/valelead-daemon/src/gateway/get-caller-check.ts
+++ b/apps/valelead-daemon/src/gateway/get-caller-check.ts
@@ -11,7 +11,7 @@
 	readonly table: RouteTable;
 	readonly route: Route;
 	readonly head: CallerRequest;
-	/** Whether the routing is known to be so new that no key in it may have been taken away. */
+	/** True if the routing is recent enough to rule out that one of its keys has been revoked since. */
 	readonly isConfirmed: boolean;
 };
 
@@ -27,7 +27,7 @@
 	return {kind: 'known', caller: {team, rank: getRank(table, route, team), cost: quota ? getCost(quota, head) : 0}};
 };
 
-/** Tells who sent a request. Only a confirmed routing is asked for keys: in an older one a key may stand that was taken away since. */
+/** Authenticates a request. Keys are looked up only in a confirmed routing, as an older one may still contain a key that was revoked since. */
 export const getCallerCheck = (terms: CallerTerms): CallerCheck => {
 	const {table, route, head, isConfirmed} = terms;
 	if (table.routing.teams === undefined) {
--- a/apps/valelead-daemon/src/gateway/get-connection-end.ts
+++ b/apps/valelead-daemon/src/gateway/get-connection-end.ts
@@ -1,10 +1,10 @@
 import {CONNECTION_END} from './connection-end.js';
 import type {ConnectionEndValue} from './connection-end-value.js';
 
-/** Errors of the runtime that say that the other side broke a connection off. */
+/** Error codes of Node.js for a connection that the other side closed or reset. */
 const BROKEN_CODES: ReadonlySet<string | undefined> = new Set(['ECONNRESET', 'EPIPE']);
 
-/** What an error of a connection says of the upstream behind it. */
+/** Returns the state of a connection to an upstream after an error of Node.js on it. */
 export const getConnectionEnd = (error: NodeJS.ErrnoException): ConnectionEndValue => {
 	if (error.code === 'ECONNREFUSED') {
 		return CONNECTION_END.Refused;
--- a/apps/valelead-daemon/src/gateway/get-forwarded-headers.ts
+++ b/apps/valelead-daemon/src/gateway/get-forwarded-headers.ts
@@ -1,11 +1,11 @@
-/** Headers that concern one connection only, in lower case. */
+/** Hop-by-hop headers, which concern one connection only, in lower case. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set(['connection', 'keep-alive', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'expect']);
 
 const LENGTH_HEADER = 'content-length';
 
 /**
- * The headers that are passed on: all but those of the connection, those that a Connection header names, and the length.
- * @param rawHeaders - Name, value, name, value …
+ * Returns the headers to forward: all except hop-by-hop headers, the headers that a Connection header names, and Content-Length.
+ * @param rawHeaders - Headers as name, value, name, value …
  */
 export const getForwardedHeaders = (rawHeaders: readonly string[]): string[] => {
 	const named = new Set<string>();
--- a/apps/valelead-daemon/src/gateway/grace-period.ts
+++ b/apps/valelead-daemon/src/gateway/grace-period.ts
@@ -1,4 +1,4 @@
-/** The time between a stop signal and the moment at which what is still in progress is broken off, in monotonic milliseconds. */
+/** The time from a stop signal until requests that are still in progress are aborted, in monotonic milliseconds. */
 export type GracePeriod = {
 	readonly startedAt: number;
 	readonly endsAt: number;
--- a/apps/valelead-daemon/src/gateway/mutate-chunk-times.ts
+++ b/apps/valelead-daemon/src/gateway/mutate-chunk-times.ts
@@ -1,6 +1,6 @@
 import type {GatewayRequest} from './gateway-request.js';
 
-/** Notes when a part of the answer came, and the longest pause between two of them. */
+/** Records the arrival time of a response chunk and updates the longest pause between two chunks. Times are monotonic milliseconds. */
 export const mutateChunkTimes = (request: GatewayRequest, now: number): void => {
 	if (request.firstChunkAt === undefined) {
 		request.firstChunkAt = now;
--- a/apps/valelead-daemon/src/gateway/new-attempt-end.ts
+++ b/apps/valelead-daemon/src/gateway/new-attempt-end.ts
@@ -3,7 +3,7 @@
 import {CONNECTION_END} from './connection-end.js';
 import type {AttemptEnd} from './attempt-end.js';
 
-/** The end of an attempt whose connection is in order, before any of its answer was passed on. */
+/** Returns the failure of an attempt whose connection still works and of which no response body has been forwarded. */
 export const newAttemptEnd = (code: ResultCodeValue, outcome: OutcomeValue, reason: string): AttemptEnd => ({
 	code, outcome, reason, connection: CONNECTION_END.Intact, phase: SUSPECT_PHASE.Unanswered,
 });
--- a/apps/valelead-daemon/src/gateway/new-gateway-admission.ts
+++ b/apps/valelead-daemon/src/gateway/new-gateway-admission.ts
@@ -1,52 +1,56 @@
 import type {AdmissionSettings} from '@valelead/admission';
 
-/** Limits and timing of a gateway's admission, beside what its settings state. Times in milliseconds. */
+/** Constants of a gateway's admission, in addition to its settings. Times are in milliseconds. */
 const GATEWAY_ADMISSION = {
 	maxAttempts: 3,
 	isRefusalBudgeted: true,
 	ejectAfter: 3,
 	ejectMs: 1000,
 	maxEjectMs: 8000,
-	/** Until a sidecar or the next announcement has told what the upstream holds. */
+	/** Covers the time until a sidecar or the next announcement has reported which models the upstream has loaded. */
 	avoidMs: 400,
 	creditMarginMs: 0,
-	/** Well above the longest answer of a plain service, and above the reading of some prompts before another. */
+	/** Well above the longest response time of a plain service, and above the time in which an engine prefills several earlier prompts. */
 	unansweredMs: 700,
-	/** Some requests are answered in between even by an engine that reads prompts of more than a second. */
+	/** Even an engine that prefills prompts for more than a second answers some requests within this time. */
 	darkMs: 1500,
 };
 
-/** The part of the installation's retries that is shared; the rest covers gateways that no leader counts, and news of others that are on their way. */
+/**
+ * The fraction of the installation's retry budget that is divided among the gateways. The rest covers gateways that no leader counts, and updates of
+ * the gateway count that have not arrived yet.
+ */
 const BUDGET_SHARE = 0.85;
 
-/** Retries that a gateway without a share may save up. */
-const UNSHARED_RETRIES = 1;
+/** The most retries that a gateway without a share of the retry budget may accumulate. */
+const MAX_UNSHARED_RETRIES = 1;
 
-type BudgetTerms = {
+type BudgetOptions = {
 	readonly dataCentre: string;
-	/** Retries that each request earns. */
+	/** Retries that each request adds to the budget. */
 	readonly ratio: number;
-	/** Retries beyond the earned ones that all gateways together may send within the budget's window. */
+	/** Additional retries that all gateways together may send within the budget's window. */
 	readonly reserve: number;
-	/** In milliseconds. */
+	/** Length of the budget's window in milliseconds. */
 	readonly windowMs: number;
-	/** Into how many shares the reserve is divided. */
+	/** Number of shares into which the reserve is divided. */
 	readonly gatewayCount: number;
-	/** Since when this gateway has a share of the reserve, in monotonic milliseconds; undefined where it has none. */
+	/** When this gateway got a share of the reserve, in monotonic milliseconds; undefined if it has none. */
 	readonly countedSince: number | undefined;
-	/** Whether nobody can have spent the share before. */
+	/** True if no earlier process of this gateway can have spent the share. */
 	readonly isUnspent?: boolean;
 };
 
 /**
- * The settings of a gateway's admission, with its share of the retries of all gateways. The process before this one may have spent the share just before
- * its end, so until a window has passed there is only what requests earn, unless the leader knows that nobody has sent any request yet.
+ * Returns the settings of a gateway's admission, with its share of the retry budget of all gateways. An earlier process of the gateway may have spent
+ * the share just before it ended. So for the first window only retries earned by requests are available, unless the leader knows that no request has
+ * been sent yet.
  */
-export const newGatewayAdmission = ({dataCentre, ratio, reserve, windowMs, gatewayCount, countedSince, isUnspent}: BudgetTerms): AdmissionSettings => {
+export const newGatewayAdmission = ({dataCentre, ratio, reserve, windowMs, gatewayCount, countedSince, isUnspent}: BudgetOptions): AdmissionSettings => {
 	const common = {...GATEWAY_ADMISSION, dataCentre, retryShare: ratio * BUDGET_SHARE};
 	if (countedSince === undefined) {
 		return {
-			...common, maxRetryTokens: UNSHARED_RETRIES, initialRetryTokens: 0, initialRetriesAt: Number.POSITIVE_INFINITY,
+			...common, maxRetryTokens: MAX_UNSHARED_RETRIES, initialRetryTokens: 0, initialRetriesAt: Number.POSITIVE_INFINITY,
 		};
 	}
 
--- a/apps/valelead-daemon/src/gateway/new-gateway-request.ts
+++ b/apps/valelead-daemon/src/gateway/new-gateway-request.ts
@@ -1,9 +1,9 @@
 import type {GatewayRequest} from './gateway-request.js';
 
-/** What becomes of a request, as opposed to what it is. */
-type Progress = 'fingerprint' | 'dispatchedAt' | 'upstreamId' | 'awaitedUpstreamId' | 'attempts' | 'lastEventId' | 'firstPartAt' | 'lastPartAt' | 'longestPauseMs' | 'answerFraming' | 'answerBytes';
+/** The fields of a request that change while it is processed. */
+type Progress = 'fingerprint' | 'dispatchedAt' | 'upstreamId' | 'awaitedUpstreamId' | 'attempts' | 'lastEventId' | 'firstChunkAt' | 'lastChunkAt' | 'longestPauseMs' | 'answerFraming' | 'answerBytes';
 
-/** A request that has just arrived. */
+/** Returns a request that has just arrived, with no progress. */
 export const newGatewayRequest = (terms: Omit<GatewayRequest, Progress>): GatewayRequest => ({
 	...terms,
 	fingerprint: undefined,
--- a/apps/valelead-daemon/src/gateway/new-port-check.ts
+++ b/apps/valelead-daemon/src/gateway/new-port-check.ts
@@ -3,10 +3,10 @@
 import {getHost} from '../get-host.js';
 import {getPort} from '../get-port.js';
 
-/** A process that is there accepts within this time, in milliseconds; one whose VM is gone says nothing at all. */
+/** The longest wait for a connection, in milliseconds. A running process accepts within this time; a VM that is gone does not answer at all. */
 const CONNECT_MS = 500;
 
-/** Tells whether nobody listens at an address any more. One connection is made, and closed unused. */
+/** Returns a function that probes an address with one connection and resolves with true if the connection is refused, so no process listens there. */
 export const newPortCheck = (timers: TimerService) => async (address: string): Promise<boolean> => new Promise(resolve => {
 	const socket = connect({host: getHost(address), port: getPort(address)});
 	const end = (isRefused: boolean): void => {
--- a/apps/valelead-daemon/src/gateway/new-ticket.ts
+++ b/apps/valelead-daemon/src/gateway/new-ticket.ts
@@ -2,10 +2,10 @@
 import {ROUTE_KIND, isRepeatable} from '@valelead/routing';
 import type {GatewayRequest} from './gateway-request.js';
 
-/** Dispatches beyond the route's attempts that a request may make when upstreams refuse it before running it. */
+/** Additional dispatches, beyond the attempts of the route, for requests that upstreams refuse before running them. */
 const SPARE_ATTEMPTS = 2;
 
-/** What the admission needs to know of a request. */
+/** Returns the fields of a request on which the admission decides. */
 export const newTicket = ({id, caller, route, service, target, arrivedAt, deadlineAt}: GatewayRequest): Ticket => ({
 	requestId: id,
 	team: caller.team?.name ?? '',
--- a/apps/valelead-daemon/src/gateway/quota-gate.ts
+++ b/apps/valelead-daemon/src/gateway/quota-gate.ts
@@ -11,27 +11,27 @@
 
 type GateParts = {
 	readonly clock: Clock;
-	/** Tells when the process was last suspended, and for how long in all. */
+	/** Provides the time of the last resumption of the process and the total duration of its suspensions. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
 	readonly timers: TimerService;
 	readonly logger: Logger;
-	/** Uniform in [0, 1). */
+	/** Returns a uniformly distributed number in [0, 1). */
 	readonly random: () => number;
 	readonly getTable: () => RouteTable | undefined;
-	/** Hears of requests that their teams' quotas allow. */
+	/** Called for each request that its team's quota allows. */
 	readonly onAdmitted: (request: GatewayRequest) => void;
 	readonly onRefused: (request: GatewayRequest, code: ResultCodeValue, retryAfterMs: number) => void;
-	/** Hears that the leader must be asked at once. */
+	/** Called when quota must be requested from the leader immediately. */
 	readonly onNeed: () => void;
 };
 
-/** A request that waits for a loan. */
+/** A request that waits until the leader lends this gateway quota for it. */
 type WaitingRequest = {
 	readonly request: GatewayRequest;
-	/** When it is refused for want of an answer. */
+	/** When the request is refused if the leader has not answered, in monotonic milliseconds. */
 	readonly waitsUntil: number;
-	/** Whether the leader was told of it. */
-	isTold: boolean;
+	/** True once the request's need of quota has been reported to the leader. */
+	isReported: boolean;
 };
 
 type HeldRequest = {
@@ -39,33 +39,38 @@
 	readonly reservation: Reservation;
 };
 
-/** The longest that a request waits for the leader's word, as a share of its objective and in milliseconds. */
-const WAIT_SHARE = 0.5;
-const MOST_WAIT_MS = 1000;
+/** The longest time that a request waits for the leader's answer, as a fraction of the route's latency objective. */
+const MAX_WAIT_FRACTION = 0.5;
+
+/** The longest time that a request waits for the leader's answer, in milliseconds. */
+const MAX_WAIT_MS = 1000;
 
 const TICK_MS = 50;
 
-/** The leader is not asked again for a team that has used up its quota until there is more, but after this time at the latest, in milliseconds. */
-const MOST_DRY_MS = 250;
+/**
+ * The longest time for which no quota is requested for a team that has used up its quota, in milliseconds. It is shorter if the leader expects more
+ * quota earlier.
+ */
+const MAX_EXHAUSTED_MS = 250;
 
-/** The least time after which a caller is asked back, in milliseconds. */
-const LEAST_RETRY_MS = 100;
+/** The shortest Retry-After time that a caller is given, in milliseconds. */
+const MIN_RETRY_AFTER_MS = 100;
 
-/** When to come back where no leader could be asked, in milliseconds: another one is found by then, mostly. */
-const LEADERLESS_RETRY_MS = 500;
+/** The Retry-After time if no leader answered, in milliseconds: in most cases a new leader is found by then. */
+const LEADERLESS_RETRY_AFTER_MS = 500;
 
-const isBefore = (left: WaitingRequest, right: WaitingRequest): number => (left.request.caller.rank - right.request.caller.rank) || (left.request.arrivedAt - right.request.arrivedAt);
+const getOrder = (left: WaitingRequest, right: WaitingRequest): number => (left.request.caller.rank - right.request.caller.rank) || (left.request.arrivedAt - right.request.arrivedAt);
 
-/** Lets requests pass that their teams' quotas allow, out of what the leader has lent this gateway. */
+/** Admits requests within the quotas of their teams, using the quota that the leader has lent to this gateway. */
 export class QuotaGate implements QuotaExchange {
 	readonly #parts: GateParts;
 	readonly #stock = newQuotaStock();
-	/** By team, in the order in which they are served. */
+	/** Waiting requests by team, in the order in which they are admitted. */
 	readonly #waiting = new Map<string, WaitingRequest[]>();
-	/** Requests whose units are taken, until it is known whether they run; by their own ids. */
+	/** Requests for which quota is reserved, by request id, until it is known whether they run. */
 	readonly #held = new Map<string, HeldRequest>();
-	/** Until when the leader had nothing for a team. */
-	readonly #dryUntil = new Map<string, number>();
+	/** The time until which the leader has no quota left, by team. */
+	readonly #exhaustedUntil = new Map<string, number>();
 	#term = -1;
 
 	constructor(parts: GateParts) {
@@ -75,7 +80,7 @@
 		});
 	}
 
-	/** Takes a request; passes it on, refuses it, or asks the leader for more. */
+	/** Admits or refuses a request, or lets it wait while the leader is asked for more quota. */
 	arrive(request: GatewayRequest): void {
 		const {team, cost} = request.caller;
 		if (!team?.quota) {
@@ -88,16 +93,16 @@
 			return;
 		}
 
-		const dryMs = (this.#dryUntil.get(team.name) ?? 0) - this.#now;
-		if (dryMs > 0) {
-			this.#refuseOver(request, dryMs);
+		const exhaustedMs = (this.#exhaustedUntil.get(team.name) ?? 0) - this.#now;
+		if (exhaustedMs > 0) {
+			this.#refuseOverQuota(request, exhaustedMs);
 			return;
 		}
 
 		this.#wait(request);
 	}
 
-	/** Takes the end of a request, whose units are free again where it did not run. */
+	/** Settles the reservation of a request that has ended: its quota is returned if the request did not run, and used otherwise. */
 	end({id}: GatewayRequest, outcome: OutcomeValue): void {
 		const held = this.#held.get(id);
 		if (held) {
@@ -106,7 +111,7 @@
 		}
 	}
 
-	/** Forgets a request that waits for a loan; returns whether it did. */
+	/** Removes a request from those that wait for quota; returns true if it was waiting. */
 	forget({id, caller}: GatewayRequest): boolean {
 		const queue = this.#waiting.get(caller.team?.name ?? '') ?? [];
 		const position = queue.findIndex(({request}) => request.id === id);
@@ -118,7 +123,7 @@
 		return true;
 	}
 
-	/** Refuses all that wait for a loan. */
+	/** Refuses all requests that wait for quota. */
 	refuseAll(code: ResultCodeValue): void {
 		for (const queue of this.#waiting.values()) {
 			for (const {request} of queue.splice(0)) {
@@ -130,7 +135,7 @@
 	getReport(isFirst: boolean): SubjectUsage[] {
 		if (isFirst) {
 			mutateSession(this.#stock);
-			this.#askAgain();
+			this.#requestAgain();
 		}
 
 		this.#settleSent();
@@ -143,7 +148,7 @@
 		return usages;
 	}
 
-	/** Takes loans; not those that were asked for before a suspension, as nobody knows how long ago that is. */
+	/** Applies the leader's loans. Loans requested before a suspension of this process are ignored, as the length of the suspension is unknown. */
 	take({term, loans, scarceSubjects, reportedAt}: Parameters<QuotaExchange['take']>[0]): void {
 		const {suspensions} = this.#parts;
 		if (suspensions.resumedAt >= reportedAt) {
@@ -155,7 +160,7 @@
 		}, this.#now);
 		if (term !== this.#term) {
 			this.#term = term;
-			this.#askAgain();
+			this.#requestAgain();
 		}
 
 		for (const loan of loans) {
@@ -163,7 +168,7 @@
 		}
 	}
 
-	/** A time that goes on in suspensions, in milliseconds. */
+	/** The current time on a clock that also advances while the process is suspended, in milliseconds. */
 	get #now(): number {
 		return this.#parts.clock.now() + this.#parts.suspensions.lostMs;
 	}
@@ -183,14 +188,14 @@
 	#wait(request: GatewayRequest): void {
 		const {caller: {team}, route, deadlineAt} = request;
 		const {name} = team!;
-		const patienceMs = Math.min(MOST_WAIT_MS, route.objectiveMs * WAIT_SHARE);
+		const maxWaitMs = Math.min(MAX_WAIT_MS, route.objectiveMs * MAX_WAIT_FRACTION);
 		const queue = this.#waiting.get(name) ?? [];
-		const waiting = {request, waitsUntil: Math.min(deadlineAt, this.#parts.clock.now() + patienceMs), isTold: false};
-		this.#waiting.set(name, [...queue, waiting].sort(isBefore));
+		const waiting = {request, waitsUntil: Math.min(deadlineAt, this.#parts.clock.now() + maxWaitMs), isReported: false};
+		this.#waiting.set(name, [...queue, waiting].sort(getOrder));
 		this.#parts.onNeed();
 	}
 
-	/** The units of a request that is at an upstream are used, whatever becomes of it. */
+	/** Marks the quota of requests that have been dispatched as used, whatever their outcome. */
 	#settleSent(): void {
 		for (const [id, {request, reservation}] of this.#held) {
 			if (request.dispatchedAt !== undefined) {
@@ -200,22 +205,22 @@
 		}
 	}
 
-	/** What requests need of which the leader was not told. */
+	/** Returns the costs of the waiting requests that the leader does not know of, and marks the requests as reported. */
 	#takeNeeds(team: string): number[] {
-		const untold = (this.#waiting.get(team) ?? []).filter(({isTold}) => !isTold);
-		for (const waiting of untold) {
-			waiting.isTold = true;
+		const unreported = (this.#waiting.get(team) ?? []).filter(({isReported}) => !isReported);
+		for (const waiting of unreported) {
+			waiting.isReported = true;
 		}
 
-		return untold.map(({request}) => request.caller.cost);
+		return unreported.map(({request}) => request.caller.cost);
 	}
 
-	/** Another leader, or a new session, knows nothing of what waits here. */
-	#askAgain(): void {
-		this.#dryUntil.clear();
+	/** Reports all waiting requests again, as a new leader or session does not know them. */
+	#requestAgain(): void {
+		this.#exhaustedUntil.clear();
 		for (const queue of this.#waiting.values()) {
 			for (const waiting of queue) {
-				waiting.isTold = false;
+				waiting.isReported = false;
 			}
 		}
 
@@ -226,25 +231,25 @@
 
 	#takeLoan({subject: team, waitMs}: Loan): void {
 		if (waitMs > 0) {
-			this.#dryUntil.set(team, this.#now + Math.min(waitMs, MOST_DRY_MS));
+			this.#exhaustedUntil.set(team, this.#now + Math.min(waitMs, MAX_EXHAUSTED_MS));
 		}
 
 		const queue = this.#waiting.get(team) ?? [];
 		const left = queue.filter(({request}) => !this.#admit(request));
-		const isOver = ({isTold}: WaitingRequest): boolean => isTold && waitMs > 0;
-		this.#waiting.set(team, left.filter(waiting => !isOver(waiting)));
-		for (const {request} of left.filter(waiting => isOver(waiting))) {
-			this.#refuseOver(request, waitMs);
+		const isOverQuota = ({isReported}: WaitingRequest): boolean => isReported && waitMs > 0;
+		this.#waiting.set(team, left.filter(waiting => !isOverQuota(waiting)));
+		for (const {request} of left.filter(waiting => isOverQuota(waiting))) {
+			this.#refuseOverQuota(request, waitMs);
 		}
 	}
 
-	/** Callers are spread, so that they do not come back together. */
-	#refuseOver(request: GatewayRequest, waitMs: number): void {
+	/** Refuses a request with a random Retry-After time, so that callers do not all retry at the same moment. */
+	#refuseOverQuota(request: GatewayRequest, waitMs: number): void {
 		const {caller: {team, cost}, head} = request;
 		this.#parts.logger.info({
 			event: 'quota-used-up', requestId: head.id, team: team!.name, cost, waitMs: Math.round(waitMs), free: Math.round(this.#stock.current.subjects.get(team!.name)?.free ?? 0), term: this.#term,
 		}, 'a team has used up its quota');
-		this.#parts.onRefused(request, RESULT_CODE.QuotaExceeded, Math.max(LEAST_RETRY_MS, Math.round(waitMs * (1 + this.#parts.random()))));
+		this.#parts.onRefused(request, RESULT_CODE.QuotaExceeded, Math.max(MIN_RETRY_AFTER_MS, Math.round(waitMs * (1 + this.#parts.random()))));
 	}
 
 	#refuseOverdue(): void {
@@ -256,7 +261,7 @@
 			}
 
 			for (const {request} of overdue) {
-				this.#parts.onRefused(request, RESULT_CODE.QuotaUnknown, LEADERLESS_RETRY_MS);
+				this.#parts.onRefused(request, RESULT_CODE.QuotaUnknown, LEADERLESS_RETRY_AFTER_MS);
 			}
 		}
 	}
--- a/apps/valelead-daemon/src/gateway/rate-limit-entry.ts
+++ b/apps/valelead-daemon/src/gateway/rate-limit-entry.ts
@@ -1,12 +1,12 @@
-/** What a gateway knows of the limit of one upstream. Times in its own monotonic milliseconds. */
+/** A gateway's knowledge of the rate limit of one upstream. Times are monotonic milliseconds of the gateway. */
 export type RateLimitEntry = {
-	/** Requests a second from all gateways together. */
+	/** The limit in force, in requests per second from all gateways together. */
 	perSecond: number;
-	/** Since when it is known here. */
+	/** When the gateway learned that the upstream has a limit. */
 	readonly knownAt: number;
-	/** What the last answer said, or the leader before there was one; undefined where the answer named no limit. */
+	/** The limit in the last response of the upstream, or the leader's value before any response; undefined if the response stated no limit. */
 	seenPerSecond: number | undefined;
 	seenAt: number;
-	/** When the leader was last told what was seen; undefined where it may not know it. */
+	/** When the last observed limit was reported to the leader; undefined if the leader may not know it. */
 	toldAt: number | undefined;
 };
--- a/apps/valelead-daemon/src/gateway/rate-limit-table.ts
+++ b/apps/valelead-daemon/src/gateway/rate-limit-table.ts
@@ -7,16 +7,16 @@
 type KnownParts = {
 	readonly clock: Clock;
 	readonly logger: Logger;
-	/** Hears of a limit that was not known before. */
+	/** Called when an upstream's limit is first learned. */
 	readonly onAdded: (upstreamId: string) => void;
-	/** Hears that the leader must be told at once. */
+	/** Called when an observed limit must be reported to the leader immediately. */
 	readonly onReportDue: () => void;
 };
 
-/** An upstream that is not in the directory so long after its limit was heard of is gone, in milliseconds. */
-const FORGET_MS = 10_000;
+/** The limit of an upstream that is missing from the directory is removed this long after it was learned, in milliseconds. */
+const MISSING_UPSTREAM_TTL_MS = 10_000;
 
-/** The limits of upstreams that a gateway knows: from answers, and from a leader that hears of the answers to all gateways. */
+/** The rate limits of upstreams, as stated in their responses to this gateway and in updates of the leader, which collects them from all gateways. */
 export class RateLimitTable {
 	readonly #parts: KnownParts;
 	readonly #known = new Map<string, RateLimitEntry>();
@@ -38,15 +38,15 @@
 		return this.#known.has(upstreamId);
 	}
 
-	/** Requests a second from all gateways together; undefined where the upstream has no limit. */
+	/** Returns the limit of an upstream in requests per second from all gateways together; undefined if it has none. */
 	getPerSecond(upstreamId: string): number | undefined {
 		return this.#known.get(upstreamId)?.perSecond;
 	}
 
 	/**
-	 * Takes what an answer says.
-	 * @param perSecond - The limit that it names; undefined where it names none.
-	 * @param startedAt - When the answered request was sent, in monotonic milliseconds.
+	 * Records the limit that a response states.
+	 * @param perSecond - The limit in requests per second; undefined if the response states none.
+	 * @param startedAt - When the request of this response was sent, in monotonic milliseconds.
 	 */
 	noteAnswer(upstreamId: string, perSecond: number | undefined, startedAt: number): void {
 		const known = this.#known.get(upstreamId);
@@ -61,7 +61,7 @@
 		}
 	}
 
-	/** What the leader may not know; it counts as told with a report of this time. */
+	/** Returns the observed limits that the leader may not know, and marks them as reported at the given time. */
 	takeSightings(sentAt: number): LimitSighting[] {
 		const sightings: LimitSighting[] = [];
 		for (const [upstreamId, known] of this.#known) {
@@ -74,7 +74,7 @@
 		return sightings;
 	}
 
-	/** Another leader, or a new session, knows nothing of what was told. */
+	/** Marks all limits as unreported, as a new leader or session does not know earlier reports. */
 	markAllUnreported(): void {
 		for (const known of this.#known.values()) {
 			known.toldAt = undefined;
@@ -82,9 +82,9 @@
 	}
 
 	/**
-	 * Takes the leader's list. What it does not name has ended, unless the leader may not have heard of it.
-	 * @param reportedAt - When the report was made that it answers, in monotonic milliseconds.
-	 * @returns Whether the leader is another one than before, which is to be told all.
+	 * Applies the leader's list of limits. A limit that is missing from the list is removed, unless the leader may not have received the report of it.
+	 * @param reportedAt - When the gateway created the report that the list answers, in monotonic milliseconds.
+	 * @returns True if the list comes from a new leader, to which all limits must be reported.
 	 */
 	takeList({term, limits}: LimitList, reportedAt: number): boolean {
 		const isNewTerm = term !== this.#term;
@@ -100,11 +100,11 @@
 		return isNewTerm;
 	}
 
-	/** Forgets upstreams that are gone. A new leader may tell of one before that has announced itself there. */
+	/** Removes upstreams that have left the directory. A new leader may list the limit of an upstream before the upstream has announced itself to it. */
 	retain(upstreamIds: ReadonlySet<string>): void {
 		const now = this.#parts.clock.now();
 		for (const [id, {knownAt}] of this.#known) {
-			if (!upstreamIds.has(id) && now - knownAt > FORGET_MS) {
+			if (!upstreamIds.has(id) && now - knownAt > MISSING_UPSTREAM_TTL_MS) {
 				this.#known.delete(id);
 			}
 		}
@@ -120,7 +120,7 @@
 	}
 
 	#noteSeen(upstreamId: string, known: RateLimitEntry, perSecond: number | undefined, startedAt: number): void {
-		// An answer to a request that was sent before may have been made before the limit was named.
+		// The response to a request that was sent before the limit was known may have been created before the upstream set the limit.
 		if (perSecond === undefined && startedAt < known.knownAt) {
 			return;
 		}
@@ -168,6 +168,6 @@
 	#log(upstreamId: string, perSecond: number | undefined, before: number | undefined): void {
 		this.#parts.logger.info({
 			event: 'upstream-limit', upstreamId, perSecond, before, term: this.#term,
-		}, 'an upstream has another limit');
+		}, 'the rate limit of an upstream changed');
 	}
 }
--- a/apps/valelead-daemon/src/gateway/request-dispatcher.ts
+++ b/apps/valelead-daemon/src/gateway/request-dispatcher.ts
@@ -35,21 +35,21 @@
 	readonly codec: CallerCodec;
 	readonly timers: TimerService;
 	readonly clock: Clock;
-	/** Uniform in [0, 1). */
+	/** Returns a uniformly distributed number in [0, 1). */
 	readonly random: () => number;
 	readonly logger: Logger;
 	readonly residency: EngineLinks;
 	readonly getTable: () => RouteTable | undefined;
 	readonly getGatewayCount: () => number;
-	/** Sends a request to an upstream. */
+	/** Starts an attempt, which sends the request to the upstream. */
 	readonly newAttempt: (terms: AttemptTerms) => SentAttempt;
-	/** Hears of limits of upstreams that the leader must learn at once, and of requests that wait for them. */
+	/** Called when rate limits of upstreams, or requests that wait because of them, must be reported to the leader immediately. */
 	readonly onLimitNews: () => void;
-	/** Hears of attempts that are ended before their answers were complete. */
+	/** Called for each attempt that is cancelled before its response is complete. */
 	readonly onCancelled: (attempt: SentAttempt) => void;
-	/** Hears of requests that are broken off as the gateway stops. */
+	/** Called for each request that is aborted because the gateway stops. */
 	readonly onCut: (request: GatewayRequest) => void;
-	/** Hears whether the retry budget of a service let a request be sent again. */
+	/** Called for each retry that is due, with true if the retry budget of the service allows it. */
 	readonly onRetry: (service: string, isAllowed: boolean) => void;
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
 	readonly onEnd: (request: GatewayRequest, code: ResultCodeValue, outcome: OutcomeValue, reason: string) => void;
@@ -58,27 +58,27 @@
 type Dispatch = Extract<AdmissionEffect, {kind: 'dispatch'}>;
 type Retry = Extract<AdmissionEffect, {kind: 'retry'}>;
 
-/** Resolution of deadlines, in milliseconds. */
+/** Interval at which deadlines and timeouts are checked, in milliseconds. */
 const TICK_MS = 50;
 
-/** How long the report of a sidecar waits for others to be taken with it, in milliseconds. */
+/** Time for which the report of a sidecar is delayed, so that reports of several sidecars are applied together, in milliseconds. */
 const REFRESH_COALESCE_MS = 25;
 
-/** Turns of the loop after which a process that stood still has read what lay in its sockets: a turn for each connection's data, one for its end. */
+/** Turns of the event loop in which a process that was stalled reads its pending socket data: one for the data of a connection, one for its end. */
 const TURNS_TO_READ = 2;
 
-/** A limit that single routes and teams of this interface do not have. */
+/** Stands for the limits per route and per team, which gateways do not have. */
 const UNLIMITED = Number.MAX_SAFE_INTEGER;
 
 const LIMITS = {teamInProgress: UNLIMITED, teamWaiting: UNLIMITED, classWaiting: UNLIMITED};
 
-/** A refused caller is asked back soon: engines swap models within about a second. In milliseconds. */
-const LEAST_RETRY_AFTER_MS = 250;
+/** The shortest Retry-After time, in milliseconds. It is short, as engines swap models within about a second. */
+const MIN_RETRY_AFTER_MS = 250;
 
-/** Runs a gateway's admission over upstreams that it reaches itself: sends, passes answers on, retries and refuses. */
+/** Dispatches the requests of a gateway to upstreams as its admission decides, forwards the responses, and retries or refuses requests. */
 export class RequestDispatcher {
 	readonly #parts: DispatcherParts;
-	readonly #state: AdmissionState = newAdmissionState(LEAST_RETRY_AFTER_MS);
+	readonly #state: AdmissionState = newAdmissionState(MIN_RETRY_AFTER_MS);
 	readonly #requests = new Map<string, GatewayRequest>();
 	readonly #attempts: ActiveAttempts;
 	readonly #log: DispatchLog;
@@ -87,7 +87,7 @@
 	readonly #crashes: CrashGuard;
 	readonly #limits: UpstreamLimits;
 	readonly #stalls: StallWatch;
-	/** Reports of many sidecars come together, and each refresh looks at all upstreams. */
+	/** Combines refreshes, as reports of many sidecars arrive together and each refresh visits all upstreams. */
 	readonly #refreshes: Coalescer;
 
 	constructor(parts: DispatcherParts) {
@@ -149,17 +149,17 @@
 		return this.#requests.size;
 	}
 
-	/** Passes crashes on to the leader, and its judgements back. */
+	/** Exchanges crash reports and quarantine decisions with the leader. */
 	get crashExchange(): CrashExchange {
 		return this.#crashes.exchange;
 	}
 
-	/** Tells the leader of limits that upstreams name, and takes what may be sent to them. */
+	/** Reports the rate limits of upstreams to the leader and receives the requests that may be sent to them. */
 	get limitExchange(): LimitExchange {
 		return this.#limits;
 	}
 
-	/** Upstreams that limit the requests that they take. */
+	/** Number of upstreams with a rate limit. */
 	get limitedCount(): number {
 		return this.#limits.count;
 	}
@@ -184,12 +184,12 @@
 		this.#demand.tellSoon();
 	}
 
-	/** Refuses a request that was not let in. */
+	/** Refuses a request that has not been admitted. */
 	refuse(request: GatewayRequest, code: ResultCodeValue, retryAfterMs: number): void {
 		this.#refuse(request, code, OUTCOME.NotRun, retryAfterMs, RESULT_DETAILS[code].meaning);
 	}
 
-	/** The caller is gone: its request is ended here and at the upstream. */
+	/** Cancels a request whose caller has disconnected, here and at the upstream. */
 	abandon(id: string): void {
 		const request = this.#requests.get(id);
 		if (!request) {
@@ -202,14 +202,14 @@
 	}
 
 	/**
-	 * From now on sends only what ends before this process does, by its own deadline.
-	 * @param endsAt - When what is in progress is broken off, in monotonic milliseconds.
+	 * Begins the shutdown: from now on only requests are sent whose deadlines are before the end of the process.
+	 * @param endsAt - When requests that are still in progress are aborted, in monotonic milliseconds.
 	 */
 	stop(endsAt: number): void {
 		this.#take({kind: 'stop', endsAt});
 	}
 
-	/** Ends what is still in progress with an honest answer. */
+	/** Aborts all requests that are still in progress, with an error that states whether they may have run. */
 	cutAll(code: ResultCodeValue): void {
 		this.#take({kind: 'refuseAll', code});
 		this.#attempts.cancelAll();
@@ -232,7 +232,7 @@
 		this.#refreshes.schedule();
 	}
 
-	/** Works out anew where requests can go. */
+	/** Recomputes the upstreams to which requests can be sent. */
 	refresh(): void {
 		const table = this.#parts.getTable();
 		if (!table) {
@@ -279,7 +279,7 @@
 		});
 	}
 
-	/** Ends a request that waits for a model which will be loaded too late for it; its caller is told when to come back. */
+	/** Refuses a request that waits for a model which will be loaded too late for it, with the forecast as the Retry-After time. */
 	#giveUp(request: GatewayRequest, forecastMs: number, getSourceCount: () => number): boolean {
 		const isServed = (this.#state.endpoints.get(request.target)?.length ?? 0) > 0;
 		if (isServed) {
@@ -293,7 +293,7 @@
 		return true;
 	}
 
-	/** Ends the requests that came before the judgement on them. One at an upstream that has not begun an answer may still spare it. */
+	/** Ends requests that arrived before they were quarantined. An upstream that has not begun its response may still be saved from the crash. */
 	#refuseQuarantined(): void {
 		for (const request of this.#requests.values()) {
 			const remainingMs = this.#crashes.getQuarantineMs(request);
@@ -324,7 +324,7 @@
 	#tick(now: number): void {
 		this.#take({kind: 'tick'});
 		if (!this.#stalls.isStalled) {
-			// Until then answers and broken connections may not have been read.
+			// While the process is stalled, responses and broken connections may not have been read yet.
 			this.#attempts.giveUpOverdue(now, attemptId => this.#getElsewhere(attemptId));
 		}
 
@@ -339,7 +339,7 @@
 		}
 	}
 
-	/** A stream that has begun is broken off when its time is over; one that has not is refused by the admission. */
+	/** Aborts a streamed response at the deadline of its request. A request whose response has not begun is refused by the admission instead. */
 	#expire(request: GatewayRequest): void {
 		const record = this.#state.requests.get(request.id);
 		if (!record) {
@@ -352,7 +352,7 @@
 		this.#refuse(request, RESULT_CODE.DeadlineExceeded, OUTCOME.Unknown, 0, 'the deadline passed during the answer');
 	}
 
-	/** The request of an attempt, where another upstream could take it. */
+	/** Returns the request of an attempt if another upstream could serve it, or undefined. */
 	#getElsewhere(attemptId: string): GatewayRequest | undefined {
 		const request = this.#getRequest(attemptId);
 		const isElsewhere = request !== undefined && (this.#state.endpoints.get(request.target)?.length ?? 0) > 1;
@@ -376,7 +376,7 @@
 		return this.#limits.count === 0 ? settings : {...settings, sendLimits: this.#limits.getSendLimits()};
 	}
 
-	/** Requests that wait and that an upstream could take now. */
+	/** Returns the number of waiting requests that an upstream could accept now. */
 	#getWaiting(upstreamId: string): number {
 		if (!this.#isUsable(upstreamId)) {
 			return 0;
@@ -435,7 +435,7 @@
 	}
 
 	#dispatch(dispatch: Dispatch): void {
-		// At once, as the next decisions count on it.
+		// The request is counted before it is sent, because the next decisions depend on the count.
 		this.#limits.noteSent(dispatch.vm);
 		if (this.#stalls.isStalled) {
 			afterTurns(TURNS_TO_READ, () => {
@@ -447,7 +447,7 @@
 		this.#send(dispatch);
 	}
 
-	/** That a caller left while this process stood still is read after its request. */
+	/** Sends a request after a stall of this process, unless its caller has disconnected: the end of a connection is read only after the request. */
 	#sendUnlessAbandoned(dispatch: Dispatch): void {
 		const {requestId, attemptId} = dispatch;
 		const request = this.#requests.get(requestId);
@@ -483,7 +483,7 @@
 		this.#demand.tellSoon();
 	}
 
-	/** Ends a request that waited, for its first upstream or another one, and must not be sent now. */
+	/** Refuses a request that waited for its first upstream or for a retry and must not be sent now. */
 	#refuseWaiting(request: GatewayRequest, code: ResultCodeValue, retryAfterMs: number): void {
 		this.#requests.delete(request.id);
 		this.#take({kind: 'abandon', requestId: request.id});
@@ -501,7 +501,7 @@
 		this.#finish(request, RESULT_CODE.Ok, OUTCOME.Ran, '');
 	}
 
-	/** @param isLast - Whether no other upstream must be risked with the request. */
+	/** @param isLast - True if the request must not be sent to another upstream, as it may have crashed this one. */
 	#fail(attemptId: string, end: AttemptEnd, isLast = false): void {
 		const request = this.#getRequest(attemptId);
 		this.#demand.tellSoon();
--- a/apps/valelead-daemon/src/gateway/request-handler.ts
+++ b/apps/valelead-daemon/src/gateway/request-handler.ts
@@ -21,26 +21,26 @@
 	readonly codec: CallerCodec;
 	readonly clock: Clock;
 	readonly logger: Logger;
-	/** Takes a request that was read whole. */
+	/** Called with each request once its body has been read completely. */
 	readonly onRequest: (request: GatewayRequest) => void;
-	/** Hears that the caller of a request has left. */
+	/** Called when the caller of a request disconnects before the response is complete. */
 	readonly onGone: (request: GatewayRequest) => void;
 	readonly getTable: () => RouteTable | undefined;
-	/** Whether the routing is known to be so new that no key in it may have been taken away. */
+	/** Returns true if the routing is recent enough to rule out that one of its keys has been revoked since. */
 	readonly isConfirmed: () => boolean;
 	readonly isStopping: () => boolean;
 };
 
 /**
- * A gateway learns its routing within this time after its start, in milliseconds, even where all controllers start with
- * it and elect a leader first. A refused caller is asked back when it is over.
+ * A gateway receives its routing configuration within this time after its start, in milliseconds, even if all controllers start at the same time and
+ * must elect a leader first. Callers that are refused meanwhile are told to retry after this time has passed.
  */
-const LEARN_MS = 2500;
+const ROUTING_STARTUP_MS = 2500;
 
-/** The least time after which a caller is asked back, in milliseconds. */
-const LEAST_RETRY_MS = 300;
+/** The shortest Retry-After time that a caller is given, in milliseconds. */
+const MIN_RETRY_AFTER_MS = 300;
 
-/** Takes callers' requests: finds their route, reads them whole, and hands them to the dispatcher. */
+/** Handles HTTP requests of callers: finds the route, authenticates the caller, reads the body and passes the request on to be dispatched. */
 export class RequestHandler {
 	readonly #parts: HandlerParts;
 	readonly #startedAt: number;
@@ -102,12 +102,12 @@
 			body,
 			answer,
 			arrivedAt,
-			deadlineAt: arrivedAt + this.#getHoldMs(route, head),
+			deadlineAt: arrivedAt + this.#getTimeoutMs(route, head),
 			routingVersion: table.routing.version,
 		});
 	}
 
-	/** Before the body is read, as a caller that is refused need not send it. */
+	/** Authenticates the caller. This happens before the body is read, so that a refused caller need not send it. */
 	#getCaller(table: RouteTable, route: Route, head: CallerRequest): Caller {
 		const check = getCallerCheck({
 			table, route, head, isConfirmed: this.#parts.isConfirmed(),
@@ -119,14 +119,14 @@
 		return check.caller;
 	}
 
-	#getHoldMs(route: Route, head: CallerRequest): number {
+	#getTimeoutMs(route: Route, head: CallerRequest): number {
 		return Math.min(route.timeoutMs, head.deadlineMs ?? Number.POSITIVE_INFINITY);
 	}
 
 	#newError(code: ResultCodeValue): Error {
-		const restMs = Math.round(this.#startedAt + LEARN_MS - this.#parts.clock.now());
-		const isSoonBack = code === RESULT_CODE.NoRouting || code === RESULT_CODE.ConfigurationTooOld;
-		const retryAfterMs = isSoonBack ? Math.max(LEAST_RETRY_MS, restMs) : 0;
+		const remainingMs = Math.round(this.#startedAt + ROUTING_STARTUP_MS - this.#parts.clock.now());
+		const isRetryable = code === RESULT_CODE.NoRouting || code === RESULT_CODE.ConfigurationTooOld;
+		const retryAfterMs = isRetryable ? Math.max(MIN_RETRY_AFTER_MS, remainingMs) : 0;
 		return new ValeleadError(RESULT_DETAILS[code].meaning, {code, outcome: OUTCOME.NotRun, retryAfterMs});
 	}
 
--- a/apps/valelead-daemon/src/gateway/request-intake.ts
+++ b/apps/valelead-daemon/src/gateway/request-intake.ts
@@ -19,23 +19,23 @@
 	readonly metrics: Metrics;
 	readonly getDispatcher: () => Pick<RequestDispatcher, 'arrive' | 'refuse' | 'abandon'>;
 	readonly getTable: () => RouteTable | undefined;
-	/** Time since the leader was heard, in milliseconds. */
+	/** Returns the time since the last message of the leader, in milliseconds. */
 	readonly getRoutingAgeMs: () => number;
-	/** Undefined until the gateway is told to stop. */
+	/** Returns the grace period of the shutdown, or undefined before the stop signal. */
 	readonly getGrace: () => GracePeriod | undefined;
-	/** Hears that the leader must be asked at once. */
+	/** Called when quota must be requested from the leader immediately. */
 	readonly onNeed: () => void;
 };
 
-/** The way of requests into a gateway and out of it: past their teams' quotas to the dispatcher, and into the records when they end. */
+/** Passes requests through the quota check to the dispatcher, and records their ends in the quota accounting, the metrics and the log. */
 export class RequestIntake {
 	readonly #parts: IntakeParts;
 	readonly #gate: QuotaGate;
-	readonly #ends: CompletionRecorder;
+	readonly #completions: CompletionRecorder;
 
 	constructor(parts: IntakeParts) {
 		this.#parts = parts;
-		this.#ends = new CompletionRecorder(parts);
+		this.#completions = new CompletionRecorder(parts);
 		this.#gate = new QuotaGate({
 			...parts,
 			random: Math.random,
@@ -48,7 +48,7 @@
 		});
 	}
 
-	/** What the leader is told of quotas, and lends. */
+	/** Exchanges quota usage and loans with the leader. */
 	get quotas(): QuotaExchange {
 		return this.#gate;
 	}
@@ -57,7 +57,7 @@
 		this.#gate.arrive(request);
 	}
 
-	/** The caller is gone. One that leaves while its request waits for a loan is unknown to the dispatcher. */
+	/** Ends a request whose caller has disconnected. The dispatcher does not know requests that still wait for quota. */
 	abandon(request: GatewayRequest): void {
 		if (this.#gate.forget(request)) {
 			this.end(request, RESULT_CODE.ClientClosed, OUTCOME.NotRun, 'the caller left');
@@ -67,18 +67,18 @@
 		this.#parts.getDispatcher().abandon(request.id);
 	}
 
-	/** Takes how a request ended. */
+	/** Records the end of a request. */
 	end(request: GatewayRequest, code: ResultCodeValue, outcome: OutcomeValue, reason: string): void {
 		this.#gate.end(request, outcome);
-		this.#ends.record(request, code, outcome, reason);
+		this.#completions.record(request, code, outcome, reason);
 	}
 
-	/** Takes that a request is broken off as the gateway stops. */
+	/** Records a request that is aborted because the gateway stops. */
 	noteCut(request: GatewayRequest): void {
-		this.#ends.recordAborted(request);
+		this.#completions.recordAborted(request);
 	}
 
-	/** Refuses what has not reached the dispatcher. */
+	/** Refuses all requests that still wait for quota and so have not reached the dispatcher. */
 	refuseAll(code: ResultCodeValue): void {
 		this.#gate.refuseAll(code);
 	}
--- a/apps/valelead-daemon/src/gateway/request-quarantine.ts
+++ b/apps/valelead-daemon/src/gateway/request-quarantine.ts
@@ -31,72 +31,72 @@
 	readonly timers: TimerService;
 	readonly logger: Logger;
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
-	/** Gateways that follow the leader, this one among them. */
+	/** Returns the number of gateways that follow the leader, including this one. */
 	readonly getGatewayCount: () => number;
-	/** Time since the leader was heard, in milliseconds. */
+	/** Returns the time since the last message of the leader, in milliseconds. */
 	readonly getLeaderAgeMs: () => number;
-	/** Hears that more requests are quarantined. */
+	/** Called when further requests have been quarantined. */
 	readonly onQuarantined: () => void;
-	/** Hears of what the leader must know at once. */
+	/** Called when news of crashes must be reported to the leader immediately. */
 	readonly onCrashNews: () => void;
-	/** Hears that all gateways know what the crashes noted before a time led to, in monotonic milliseconds. */
+	/** Called when all connected gateways apply the decisions that follow from crashes before `until`, in monotonic milliseconds. */
 	readonly onCrashesKnown: (until: number) => void;
-	/** Hears that no gateway sends by what it knew before such crashes, in monotonic milliseconds. */
+	/** Called when no gateway, connected or not, sends requests without knowing of the crashes before `until`, in monotonic milliseconds. */
 	readonly onCrashesObeyed: (until: number) => void;
 };
 
 type NotedCrash = {
 	readonly run: WatchedRun;
 	readonly at: number;
-	/** Whether this gateway had a lease on the leader's list then. */
+	/** True if this gateway held a lease on the leader's list at the time of the crash. */
 	readonly isLeased: boolean;
 };
 
-/** Why a request is not sent, and when its caller may come back. */
+/** The result code with which a request is refused, and the time after which its caller may retry. */
 type Refusal = {
 	readonly code: ResultCodeValue;
 	readonly retryAfterMs: number;
 };
 
-/** What is news for the leader is told with each report for this long, in milliseconds: some heartbeats, in case a report or the leader is lost. */
-const TOLD_MS = 3000;
+/** News is repeated in each report to the leader for this time, in milliseconds: several heartbeats, in case a report or the leader is lost. */
+const REPORT_REPEAT_MS = 3000;
 
 /**
- * A gateway judges by what it saw itself only once the leader was not heard for this long, in milliseconds: it does not see who else was at the
- * upstream. Two heartbeats, and well below the time in which a judgement must be everywhere.
+ * A gateway quarantines requests on its own only if the leader's last message is older than this, in milliseconds: it cannot see the requests that
+ * other gateways had at the upstream. The time is two heartbeats, and well below the time in which a quarantine decision must reach all gateways.
  */
-const OWN_DECISION_MS = 1000;
+const LEADER_SILENCE_MS = 1000;
 
-/** When a gateway has probably found a leader again, in milliseconds: an election that splits once. */
+/** The time in which a gateway has probably found a leader again, in milliseconds: it covers an election with one split vote. */
 const LEADER_RETURN_MS = 1500;
 
-/** Crashes that are kept to be told to a leader that knows none of them. */
+/** The most crashes that are kept to be reported to a leader that knows none of them. */
 const MAX_CRASHES = 64;
 
-/** How often what is over is dropped, and judged anew while no leader is heard, in milliseconds. */
+/** The interval at which expired entries are removed and, without a leader, quarantine decisions are made, in milliseconds. */
 const EXPIRY_MS = 500;
 
 const toText = (fingerprint: Uint8Array): string => Buffer.from(fingerprint).toString('hex');
 
 const toCrash = ({runId, suspects}: WatchedRun): Crash => ({runId, suspects: [...suspects.values()]});
 
-/** The requests that a gateway keeps from upstreams: by the leader's judgement, or by its own where it saw enough itself. */
+/** The requests that a gateway must not send to upstreams, as the leader decided, or as the gateway decided from the crashes that it observed. */
 export class RequestQuarantine implements CrashExchange {
 	readonly #parts: QuarantineParts;
 	readonly #ledger: CrashLedger = newCrashLedger();
 	readonly #suspects: SuspectedRequests;
-	/** Until when each request is not sent, by fingerprint, in monotonic milliseconds. */
+	/** The end of each quarantine, by request fingerprint, in monotonic milliseconds. */
 	readonly #until = new Map<string, number>();
 	readonly #crashes = new Map<string, NotedCrash>();
-	/** What was answered and was blamed before, and since when the leader is told. */
+	/** Fingerprints of blamed requests that were answered since, and when this became news for the leader, in monotonic milliseconds. */
 	readonly #cleared = new Map<string, number>();
-	/** Requests that a leader has quarantined. */
+	/** Fingerprints of the requests that a leader has quarantined. */
 	#committed: ReadonlySet<string> = new Set();
-	/** Requests that only this gateway has quarantined, and since when, in monotonic milliseconds. */
+	/** Fingerprints of the requests that only this gateway has quarantined, and when it did so, in monotonic milliseconds. */
 	readonly #own = new Map<string, number>();
-	/** A leader has heard of the crashes that were noted before this time, in monotonic milliseconds. */
-	#heardUntil = Number.NEGATIVE_INFINITY;
-	/** The version of the leader's list that is obeyed; 0 before the first of a session. */
+	/** A leader has received the crashes that were recorded before this time, in monotonic milliseconds. */
+	#reportedUntil = Number.NEGATIVE_INFINITY;
+	/** The version of the leader's list that is applied; 0 before the first list of a session. */
 	#version = 0;
 
 	constructor(parts: QuarantineParts) {
@@ -111,17 +111,17 @@
 		return this.#until.size;
 	}
 
-	/** Whether no request is quarantined or known from a crash, so that all may be sent. */
+	/** True if no request is quarantined or was in progress at a crash, so that all requests may be sent. */
 	get isEmpty(): boolean {
 		return this.#until.size === 0 && this.#suspects.isEmpty && this.#ledger.runsBySuspect.size === 0;
 	}
 
-	/** Until no gateway sends by what it knew before a crash that this one has noted now, in milliseconds; 0 without a leader for that long. */
+	/** Time until all leases that other gateways got while this gateway held its own have expired, in milliseconds; 0 once they have. */
 	get peerLeasesExpireInMs(): number {
 		return this.#suspects.peerLeasesExpireInMs;
 	}
 
-	/** Why a request is not sent; undefined where it may be. */
+	/** Returns the reason for which a request must not be sent, or undefined if it may be sent. */
 	getRefusal(fingerprint: string): Refusal | undefined {
 		const remainingMs = this.getRemainingMs(fingerprint);
 		if (remainingMs > 0) {
@@ -131,27 +131,27 @@
 		return this.#isPaused(fingerprint) ? {code: RESULT_CODE.RequestSuspected, retryAfterMs: LEADER_RETURN_MS} : undefined;
 	}
 
-	/** How long a request is not sent yet, in milliseconds; 0 where it may be. */
+	/** Returns the time for which a request remains quarantined, in milliseconds; 0 if it is not quarantined. */
 	getRemainingMs(fingerprint: string): number {
 		return Math.max(0, (this.#until.get(fingerprint) ?? 0) - this.#parts.clock.now());
 	}
 
-	/** Whether a request is blamed enough that it must not cost a second upstream within one try. */
+	/** Returns true if a request's crash score is so high that it must not be retried on a second upstream. */
 	isSuspected(fingerprint: string): boolean {
 		return this.isBlamedByLeader(fingerprint) || getBlame(this.#ledger, fingerprint) >= SUSPICION_BLAME;
 	}
 
-	/** Whether a request is quarantined, or the leader blames it for more than one crash. */
+	/** Returns true if a request is quarantined, or if the leader suspects it of more than one crash. */
 	isBlamedByLeader(fingerprint: string): boolean {
-		return this.#until.has(fingerprint) || this.#suspects.names.has(fingerprint);
+		return this.#until.has(fingerprint) || this.#suspects.fingerprints.has(fingerprint);
 	}
 
-	/** Whether a request was answered whole so lately that it is not blamed for crashes. */
+	/** Returns true if a request got a complete response so recently that it is not blamed for crashes. */
 	isServedLately(fingerprint: string): boolean {
 		return isServedLately(this.#ledger.served, fingerprint, this.#parts.clock.now());
 	}
 
-	/** Takes an upstream that crashed under requests of this gateway; again where more of them are known. */
+	/** Records the crash of an upstream with requests of this gateway in progress. Called again when further requests turn out to have been there. */
 	noteCrash(run: WatchedRun): void {
 		const now = this.#parts.clock.now();
 		if (this.#crashes.size >= MAX_CRASHES) {
@@ -165,10 +165,10 @@
 		this.#quarantineBlamed([...run.suspects.keys()]);
 	}
 
-	/** Takes that an upstream answered a request whole; returns whether the leader should know. */
+	/** Records that a request got a complete response; returns true if the leader should learn of it. */
 	noteServed(fingerprint: string): boolean {
 		const now = this.#parts.clock.now();
-		const isNews = mutateServed(this.#ledger, fingerprint, now) || this.#suspects.names.has(fingerprint) || this.#until.has(fingerprint);
+		const isNews = mutateServed(this.#ledger, fingerprint, now) || this.#suspects.fingerprints.has(fingerprint) || this.#until.has(fingerprint);
 		if (isNews) {
 			this.#cleared.set(fingerprint, now);
 			for (const {run} of this.#crashes.values()) {
@@ -184,9 +184,9 @@
 			this.#version = 0;
 		}
 
-		const told = this.#parts.clock.now() - TOLD_MS;
-		const crashes = [...this.#crashes.values()].filter(({at}) => isFirst || at > told).map(({run}) => toCrash(run));
-		const served = [...this.#cleared].filter(([, at]) => at > told).map(([fingerprint]) => fingerprint);
+		const newsSince = this.#parts.clock.now() - REPORT_REPEAT_MS;
+		const crashes = [...this.#crashes.values()].filter(({at}) => isFirst || at > newsSince).map(({run}) => toCrash(run));
+		const served = [...this.#cleared].filter(([, at]) => at > newsSince).map(([fingerprint]) => fingerprint);
 		return {crashes, served, quarantineVersion: this.#version};
 	}
 
@@ -202,7 +202,7 @@
 			this.#suspects.take(suspected.map(fingerprint => toText(fingerprint)), paused.map(fingerprint => toText(fingerprint)));
 		}
 
-		this.#reportServed([...this.#suspects.names, ...quarantined.map(({fingerprint}) => toText(fingerprint))]);
+		this.#reportServed([...this.#suspects.fingerprints, ...quarantined.map(({fingerprint}) => toText(fingerprint))]);
 		for (const fingerprint of released) {
 			this.#release(toText(fingerprint));
 		}
@@ -212,13 +212,13 @@
 		}
 	}
 
-	/** A leader knows at least as much as this gateway, so judgements of this gateway that it does not share end. */
+	/** Revokes this gateway's own decisions that the leader has not made too, as the leader knows at least as much as this gateway. */
 	noteHeard(reportedAt: number, isLeaseGranted: boolean): void {
 		if (isLeaseGranted) {
 			this.#suspects.confirm(reportedAt);
 		}
 
-		this.#heardUntil = Math.max(this.#heardUntil, reportedAt);
+		this.#reportedUntil = Math.max(this.#reportedUntil, reportedAt);
 		for (const [fingerprint, judgedAt] of this.#own) {
 			if (this.#committed.has(fingerprint)) {
 				this.#own.delete(fingerprint);
@@ -236,17 +236,20 @@
 		this.#parts.onCrashesObeyed(reportedAt);
 	}
 
-	/** Whether a request is kept back for the moment. */
+	/** Returns true if a request must not be sent until the leader has decided on it. */
 	#isPaused(fingerprint: string): boolean {
 		return !this.isServedLately(fingerprint) && this.#suspects.isPaused(fingerprint, this.#getBegunCrashes(fingerprint));
 	}
 
-	/** The crashes at which a request had just begun. Those that made way for newer ones count as ones that others may share. */
+	/**
+	 * Returns the crashes at which the response to a request had just begun. Crashes that were evicted for newer ones count as leased, so that other
+	 * gateways may have lost upstreams to the same request.
+	 */
 	#getBegunCrashes(fingerprint: string): ReadonlyArray<Pick<NotedCrash, 'isLeased'>> {
 		return getBegunRuns(this.#ledger, fingerprint).map(runId => this.#crashes.get(runId) ?? {isLeased: true});
 	}
 
-	/** Tells the leader of blamed requests that were answered here lately; it may have heard of their crashes alone. */
+	/** Reports blamed requests that were answered here recently to the leader, which may know only of their crashes. */
 	#reportServed(fingerprints: readonly string[]): void {
 		const now = this.#parts.clock.now();
 		const served = fingerprints.filter(fingerprint => !this.#cleared.has(fingerprint) && this.isServedLately(fingerprint));
@@ -260,7 +263,7 @@
 	}
 
 	#quarantineBlamed(fingerprints: readonly string[]): void {
-		if (this.#parts.getLeaderAgeMs() <= OWN_DECISION_MS) {
+		if (this.#parts.getLeaderAgeMs() <= LEADER_SILENCE_MS) {
 			return;
 		}
 
@@ -276,21 +279,21 @@
 	}
 
 	#getOwnBlame(fingerprint: string): number {
-		if (this.#suspects.isOwnJudged(this.#getBegunCrashes(fingerprint))) {
+		if (this.#suspects.isLocallyQuarantined(this.#getBegunCrashes(fingerprint))) {
 			return QUARANTINE_BLAME;
 		}
 
-		const isSuspected = this.#suspects.names.has(fingerprint);
-		// Crashes that made way for newer ones were told long ago.
-		const isHeard = (runId: string): boolean => (this.#crashes.get(runId)?.at ?? Number.NEGATIVE_INFINITY) < this.#heardUntil;
-		return getPartialBlame(this.#ledger, fingerprint, runId => !isSuspected && isHeard(runId));
+		const isSuspected = this.#suspects.fingerprints.has(fingerprint);
+		// Crashes that were evicted for newer ones were reported long ago.
+		const isReported = (runId: string): boolean => (this.#crashes.get(runId)?.at ?? Number.NEGATIVE_INFINITY) < this.#reportedUntil;
+		return getPartialBlame(this.#ledger, fingerprint, runId => !isSuspected && isReported(runId));
 	}
 
 	#dropOwn(fingerprint: string): void {
 		this.#own.delete(fingerprint);
 		this.#ledger.quarantined.delete(fingerprint);
 		if (this.#until.delete(fingerprint)) {
-			this.#parts.logger.info({event: 'request-released', fingerprint, source: 'leader'}, 'the leader does not share the judgement of this gateway');
+			this.#parts.logger.info({event: 'request-released', fingerprint, source: 'leader'}, 'the leader did not confirm the quarantine decision of this gateway');
 		}
 	}
 
@@ -314,7 +317,7 @@
 		return isNew;
 	}
 
-	/** Time since this gateway last saw a request answered whole, in milliseconds; undefined if it did not. */
+	/** Returns the time since a request last got a complete response at this gateway, in milliseconds; undefined if it never did. */
 	#getServedAgoMs(fingerprint: string): number | undefined {
 		const at = this.#ledger.served.get(fingerprint);
 		return at === undefined ? undefined : Math.round(this.#parts.clock.now() - at);
@@ -330,7 +333,7 @@
 		}
 
 		for (const [fingerprint, at] of this.#cleared) {
-			if (now - at > TOLD_MS) {
+			if (now - at > REPORT_REPEAT_MS) {
 				this.#cleared.delete(fingerprint);
 			}
 		}
--- a/apps/valelead-daemon/src/gateway/request-server.ts
+++ b/apps/valelead-daemon/src/gateway/request-server.ts
@@ -7,10 +7,10 @@
 import {stopListening} from '../stop-listening.js';
 import type {RequestHandler} from './request-handler.js';
 
-/** The largest head of a request that any configuration may allow, in bytes. */
+/** The largest request head (request line and headers) that a configuration can allow, in bytes. */
 const MAX_HEADER_BYTES = 65_536;
 
-/** The port that callers reach. */
+/** The HTTP server that receives the requests of callers. */
 export class RequestServer {
 	readonly #address: string;
 	readonly #server: Server;
@@ -27,7 +27,7 @@
 		});
 	}
 
-	/** Answers that callers have not taken whole. */
+	/** Number of responses that have not been completely sent to their callers. */
 	get unfinishedCount(): number {
 		return this.#connections.unfinishedCount;
 	}
@@ -37,18 +37,18 @@
 		await once(this.#server, 'listening');
 	}
 
-	/** Puts the times of a routing into force, for connections old and new. */
+	/** Applies the connection timeouts of a routing configuration to existing and new connections. */
 	setLimits({headerTimeoutMs, idleTimeoutMs}: CallerLimits): void {
 		this.#server.headersTimeout = headerTimeoutMs;
 		this.#server.keepAliveTimeout = idleTimeoutMs;
 	}
 
-	/** Ends idle connections. The others end after their answer. */
+	/** Closes idle connections. Connections with a request in progress are closed after its response. */
 	closeIdle(): void {
 		this.#connections.closeIdle();
 	}
 
-	/** Takes no new connections. */
+	/** Stops accepting new connections. */
 	close(): void {
 		stopListening(this.#server);
 	}
--- a/apps/valelead-daemon/src/gateway/sent-attempt.ts
+++ b/apps/valelead-daemon/src/gateway/sent-attempt.ts
@@ -1,19 +1,19 @@
 import type {ResultCodeValue} from '@valelead/common';
 
-/** One sending of a request to an upstream, as the dispatcher follows it. */
+/** One attempt to send a request to an upstream, as the dispatcher tracks it. */
 export type SentAttempt = {
 	/** The id that the caller gave the request. */
 	readonly requestId: string;
 	readonly upstreamId: string;
-	/** Monotonic milliseconds. */
+	/** When the attempt was started, in monotonic milliseconds. */
 	readonly startedAt: number;
-	/** Whether the connection is up, so that bytes of the request may have left. */
+	/** True once the connection is established, so that bytes of the request may have been sent. */
 	readonly isSent: boolean;
 	readonly isAnswered: boolean;
-	/** Whether it was sent on a connection that had served another request before. */
+	/** True if the request was sent on a connection that had served another request before. */
 	readonly isConnectionReused: boolean;
-	/** Ends the attempt and its connection without a word to the gateway. */
+	/** Ends the attempt and its connection without calling any callback. */
 	readonly cancel: () => void;
-	/** Gives the attempt up as failed. */
+	/** Ends the attempt and its connection, and reports the given failure. */
 	readonly fail: (code: ResultCodeValue, reason: string) => void;
 };
--- a/apps/valelead-daemon/src/gateway/start-readiness-server.ts
+++ b/apps/valelead-daemon/src/gateway/start-readiness-server.ts
@@ -3,7 +3,7 @@
 import {getHost} from '../get-host.js';
 import {getPort} from '../get-port.js';
 
-/** Tells the balancer whether the gateway takes new connections. */
+/** Starts the HTTP server on which the load balancer checks whether the gateway accepts new connections. */
 export const startReadinessServer = async (address: string, path: string, getUnreadyReason: () => string | undefined): Promise<Server> => {
 	const server = createServer((message, response) => {
 		const reason = message.url === path ? getUnreadyReason() : 'no such path';
--- a/apps/valelead-daemon/src/gateway/suspected-requests.ts
+++ b/apps/valelead-daemon/src/gateway/suspected-requests.ts
@@ -4,27 +4,27 @@
 type SuspectedParts = {
 	readonly clock: Clock;
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
-	/** Gateways that follow the leader, this one among them. */
+	/** Returns the number of gateways that follow the leader, including this one. */
 	readonly getGatewayCount: () => number;
 };
 
-/** A crash at which a request had just begun. */
+/** A crash of an upstream that had just begun its response to a request. */
 type BegunCrash = {
-	/** Whether this gateway had a lease then, so that others may have lost upstreams to the same request. */
+	/** True if this gateway held a lease at the crash, so that other gateways may have lost upstreams to the same request. */
 	readonly isLeased: boolean;
 };
 
-/** Upstreams that a gateway without a lease loses to a request before it judges alone; one may be a coincidence. */
-const OWN_JUDGED_CRASHES = 2;
+/** Upstreams that a gateway without a lease must lose to a request before it quarantines the request on its own; one may be a coincidence. */
+const MIN_CRASHES_TO_QUARANTINE = 2;
 
-/** What leaders suspect, and for how long this gateway may go by it. */
+/** The requests that leaders suspect of crashing upstreams, and the lease under which this gateway may rely on the leader's list. */
 export class SuspectedRequests {
 	readonly #lease: CrashLease;
-	/** Requests that the leader blames, and not yet enough. */
+	/** Requests that the leader suspects, but not strongly enough to quarantine them. */
 	#suspected: ReadonlySet<string> = new Set();
-	/** Requests that leaders suspected since one last granted a lease; a leader without all gateways may not have heard why. */
+	/** Requests that leaders suspected since the last lease was granted; a leader that lacks reports of some gateways may not know the reason. */
 	readonly #suspectedBefore = new Set<string>();
-	/** Requests that the leader has no gateway send for the moment. */
+	/** Requests that no gateway may send until the leader has decided on them. */
 	#paused: ReadonlySet<string> = new Set();
 
 	constructor(parts: SuspectedParts) {
@@ -39,17 +39,17 @@
 		return !this.#lease.isOver;
 	}
 
-	/** Until no gateway sends by what it knew before a crash that this one has noted now, in milliseconds; 0 without a leader for that long. */
+	/** Time until all leases that other gateways got while this gateway held its own have expired, in milliseconds; 0 once they have. */
 	get peerLeasesExpireInMs(): number {
 		return this.#lease.peerLeasesExpireInMs;
 	}
 
-	/** The requests that the present leader suspects. */
-	get names(): ReadonlySet<string> {
+	/** Fingerprints of the requests that the current leader suspects. */
+	get fingerprints(): ReadonlySet<string> {
 		return this.#suspected;
 	}
 
-	/** Takes a leader's list. */
+	/** Applies the leader's lists of suspected and paused requests, given as fingerprints. */
 	take(suspected: readonly string[], paused: readonly string[]): void {
 		for (const fingerprint of this.#suspected) {
 			this.#suspectedBefore.add(fingerprint);
@@ -59,24 +59,27 @@
 		this.#paused = new Set(paused);
 	}
 
-	/** Takes that a leader which has heard all gateways grants a lease on its list, from when it was asked, in monotonic milliseconds. */
+	/**
+	 * Renews the lease, which a leader grants once it has received the reports of all gateways.
+	 * @param reportedAt - When this gateway created the report that the leader answered, in monotonic milliseconds.
+	 */
 	confirm(reportedAt: number): void {
 		this.#lease.confirm(reportedAt);
 		this.#suspectedBefore.clear();
 	}
 
-	/** Whether a request might cost a fourth upstream, as other gateways may have lost some to it of which this one has no word. */
+	/** Returns true if a request might crash a fourth upstream, as other gateways may have lost upstreams to it without this gateway's knowledge. */
 	isPaused(fingerprint: string, begun: readonly BegunCrash[]): boolean {
 		if (this.hasLease || this.#paused.has(fingerprint)) {
 			return this.#paused.has(fingerprint);
 		}
 
 		const isShared = this.#suspected.has(fingerprint) || this.#suspectedBefore.has(fingerprint) || begun.some(({isLeased}) => isLeased);
-		return isShared || begun.length >= this.#lease.ownCrashes;
+		return isShared || begun.length >= this.#lease.maxUnleasedCrashes;
 	}
 
-	/** Whether this gateway has lost as many upstreams to a request without a lease as it may, so that it judges alone. */
-	isOwnJudged(begun: readonly BegunCrash[]): boolean {
-		return begun.filter(({isLeased}) => !isLeased).length >= Math.max(this.#lease.ownCrashes, OWN_JUDGED_CRASHES);
+	/** Returns true if this gateway has lost the allowed number of upstreams to a request without a lease, and so quarantines it on its own. */
+	isLocallyQuarantined(begun: readonly BegunCrash[]): boolean {
+		return begun.filter(({isLeased}) => !isLeased).length >= Math.max(this.#lease.maxUnleasedCrashes, MIN_CRASHES_TO_QUARANTINE);
 	}
 }
--- a/apps/valelead-daemon/src/gateway/upstream-attempt.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-attempt.ts
@@ -18,11 +18,11 @@
 
 const BODYLESS_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'DELETE']);
 
-/** One sending of a request to an upstream over HTTP. */
+/** One attempt to send a request to an upstream over HTTP. */
 export class UpstreamAttempt implements SentAttempt {
 	readonly #parts: AttemptTerms;
 	readonly #request: ClientRequest;
-	/** Whether bytes of the request may have left. */
+	/** True if bytes of the request may have been sent. */
 	#isSent = false;
 	#isAnswered = false;
 	#hasBody = false;
@@ -45,7 +45,7 @@
 		return this.#parts.startedAt;
 	}
 
-	/** Whether the connection is up. */
+	/** True once the connection is established, so that bytes of the request may have been sent. */
 	get isSent(): boolean {
 		return this.#isSent;
 	}
@@ -58,13 +58,13 @@
 		return this.#request.reusedSocket;
 	}
 
-	/** Ends the attempt and its connection without a word to the gateway. */
+	/** Ends the attempt and its connection without calling any callback. */
 	cancel(): void {
 		this.#isOver = true;
 		abortRequest(this.#request);
 	}
 
-	/** Gives the attempt up as failed. */
+	/** Ends the attempt and its connection, and reports the given failure. */
 	fail(code: ResultCodeValue, reason: string, connection: ConnectionEndValue = CONNECTION_END.Intact): void {
 		this.#end(() => {
 			this.#parts.events.onFailure({
@@ -123,7 +123,7 @@
 		const {codec, requestId, events} = this.#parts;
 		const head = codec.decodeAnswer(answer.statusCode ?? 0, answer.headers);
 		this.#isAnswered = true;
-		// A late answer to another request says nothing of the present.
+		// A late response to another request does not state the current limit.
 		if (head.requestId === requestId && !head.isOtherUpstream) {
 			events.onLimit(head.limitPerSecond);
 		}
@@ -175,10 +175,10 @@
 		});
 	}
 
-	#end(tell: () => void): void {
+	#end(notify: () => void): void {
 		if (!this.#isOver) {
 			this.#isOver = true;
-			tell();
+			notify();
 		}
 	}
 }
--- a/apps/valelead-daemon/src/gateway/upstream-limits.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-limits.ts
@@ -13,47 +13,47 @@
 
 type LimitsParts = {
 	readonly clock: Clock;
-	/** Tells when the process was last suspended, and for how long in all. */
+	/** Provides the time of the last resumption of the process and the total duration of its suspensions. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
 	readonly timers: TimerService;
 	readonly logger: Logger;
-	/** Uniform in [0, 1). */
+	/** Returns a uniformly distributed number in [0, 1). */
 	readonly random: () => number;
-	/** Requests that wait and could be sent to an upstream. */
+	/** Returns the number of waiting requests that could be sent to an upstream. */
 	readonly getWaiting: (upstreamId: string) => number;
-	/** Hears that the leader must be told at once. */
+	/** Called when a limit must be reported to the leader, or a loan requested, immediately. */
 	readonly onNeed: () => void;
-	/** Hears that more or fewer requests may be sent. */
+	/** Called when the number of requests that may be sent has changed. */
 	readonly onChange: () => void;
 };
 
-/** A request counts as one unit. */
+/** Units of an upstream's limit that one request uses. */
 const REQUEST_COST = 1;
 
-/** The most requests that are asked for at once: others may have as many waiting. */
-const MOST_NEEDS = 4;
+/** The most requests for which loans are requested at once, as other gateways may have as many requests waiting. */
+const MAX_REQUESTED_LOANS = 4;
 
-/** The leader is asked again where it did not answer within this time, in milliseconds. */
-const ANSWER_MS = 500;
+/** The time after which a loan is requested again if the leader has not answered, in milliseconds. */
+const LEADER_TIMEOUT_MS = 500;
 
-/** The least time between two requests for loans, in milliseconds: what was lent may not have been of use. */
-const ASK_GAP_MS = 50;
+/** The shortest time between two requests for loans, in milliseconds. It also applies after a successful loan, which may not have been of use. */
+const MIN_REQUEST_INTERVAL_MS = 50;
 
-/** The longest time for which an upstream is not asked for once the leader had nothing, in milliseconds: others may give back what they got. */
-const MOST_DRY_MS = 1000;
+/** The longest time without a new request for loans after the leader had none left, in milliseconds: other gateways may return unused loans. */
+const MAX_EXHAUSTED_MS = 1000;
 
 const TICK_MS = 50;
 
 /**
- * Keeps to the limits that upstreams name in their answers. A limit holds for all gateways together: the leader tells it to all, and lends the requests that may be
- * sent. Without a loan nothing is sent to such an upstream.
+ * Enforces the rate limits that upstreams state in their responses. A limit applies to all gateways together: the leader distributes it to all of
+ * them and lends each the number of requests that it may send. Without a loan, no request is sent to an upstream with a limit.
  */
 export class UpstreamLimits implements LimitExchange {
 	readonly #parts: LimitsParts;
 	readonly #known: RateLimitTable;
 	readonly #stock = newQuotaStock();
-	/** Until when nothing is asked for, by upstream: the leader has been asked, or had nothing. */
-	readonly #quietUntil = new Map<string, number>();
+	/** The time before which no loan is requested, by upstream, because a request is pending or the leader had no loans left. */
+	readonly #nextRequestAt = new Map<string, number>();
 	readonly #rates = new Map<string, LoanRate>();
 
 	constructor(parts: LimitsParts) {
@@ -62,7 +62,7 @@
 			clock: parts.clock,
 			logger: parts.logger,
 			onAdded: upstreamId => {
-				// A request in hand is used without a question to the leader, and its answer tells whether the limit has ended.
+				// A loan in stock is used without asking the leader, and the response to that request shows whether the limit has ended.
 				mutateDemand(this.#stock, upstreamId, REQUEST_COST, this.#now);
 				parts.onChange();
 			},
@@ -77,7 +77,7 @@
 		return this.#known.count;
 	}
 
-	/** The upstreams that limit their requests. */
+	/** Returns the limits of all upstreams that have one: the requests that may be sent now, and the expected rate in requests per second. */
 	getSendLimits(): ReadonlyMap<string, SendLimit> {
 		const now = this.#now;
 		return new Map(this.#known.upstreamIds.map(upstreamId => [upstreamId, {
@@ -85,7 +85,7 @@
 		}]));
 	}
 
-	/** Takes that a request is sent. */
+	/** Uses up one loan for a request that is sent. */
 	noteSent(upstreamId: string): void {
 		if (!this.#known.has(upstreamId)) {
 			return;
@@ -99,15 +99,15 @@
 	}
 
 	/**
-	 * Takes what an answer says.
-	 * @param perSecond - The limit that it names; undefined where it names none.
-	 * @param startedAt - When the answered request was sent, in monotonic milliseconds.
+	 * Records the limit that a response states.
+	 * @param perSecond - The limit in requests per second; undefined if the response states none.
+	 * @param startedAt - When the request of this response was sent, in monotonic milliseconds.
 	 */
 	noteAnswer(upstreamId: string, perSecond: number | undefined, startedAt: number): void {
 		this.#known.noteAnswer(upstreamId, perSecond, startedAt);
 	}
 
-	/** Asks the leader for what requests wait for, unless it was asked or had nothing. */
+	/** Requests loans for waiting requests from the leader, unless a request is pending or the leader recently had no loans left. */
 	noteWaiting(): void {
 		if (this.#known.count === 0) {
 			return;
@@ -119,12 +119,12 @@
 		}
 	}
 
-	/** Forgets upstreams that are gone. */
+	/** Removes upstreams that have left the directory. */
 	retain(upstreamIds: ReadonlySet<string>): void {
 		this.#known.retain(upstreamIds);
 		for (const id of this.#rates.keys()) {
 			if (!upstreamIds.has(id)) {
-				this.#quietUntil.delete(id);
+				this.#nextRequestAt.delete(id);
 				this.#rates.delete(id);
 			}
 		}
@@ -133,7 +133,7 @@
 	getReport(sentAt: number, isFirst: boolean): ReturnType<LimitExchange['getReport']> {
 		if (isFirst) {
 			mutateSession(this.#stock);
-			this.#quietUntil.clear();
+			this.#nextRequestAt.clear();
 			this.#known.markAllUnreported();
 		}
 
@@ -143,10 +143,10 @@
 		return {sightings: this.#known.takeSightings(sentAt), usages};
 	}
 
-	/** Takes limits and loans; no loans that were asked for before a suspension, as nobody knows how long ago that is. */
+	/** Applies limits and loans. Loans requested before a suspension of this process are ignored, as the length of the suspension is unknown. */
 	take({limits, grant, reportedAt}: Parameters<LimitExchange['take']>[0]): void {
 		if (limits && this.#known.takeList(limits, reportedAt)) {
-			this.#quietUntil.clear();
+			this.#nextRequestAt.clear();
 			this.#known.markAllUnreported();
 			this.#parts.onNeed();
 		}
@@ -160,7 +160,7 @@
 		}
 	}
 
-	/** A time that goes on in suspensions, in milliseconds. */
+	/** The current time on a clock that also advances while the process is suspended, in milliseconds. */
 	get #now(): number {
 		return this.#parts.clock.now() + this.#parts.suspensions.lostMs;
 	}
@@ -171,17 +171,17 @@
 	}
 
 	#getNeedCount(upstreamId: string, now: number): number {
-		if (now < (this.#quietUntil.get(upstreamId) ?? 0)) {
+		if (now < (this.#nextRequestAt.get(upstreamId) ?? 0)) {
 			return 0;
 		}
 
-		return Math.min(MOST_NEEDS, this.#parts.getWaiting(upstreamId) - getStockAmount(this.#stock, upstreamId, now));
+		return Math.min(MAX_REQUESTED_LOANS, this.#parts.getWaiting(upstreamId) - getStockAmount(this.#stock, upstreamId, now));
 	}
 
 	#newUsage(upstreamId: string, now: number): SubjectUsage | undefined {
 		const count = this.#known.has(upstreamId) ? Math.max(0, this.#getNeedCount(upstreamId, now)) : 0;
 		if (count > 0) {
-			this.#quietUntil.set(upstreamId, now + ANSWER_MS);
+			this.#nextRequestAt.set(upstreamId, now + LEADER_TIMEOUT_MS);
 		}
 
 		return mutateSubjectReport(this.#stock, upstreamId, Array.from({length: count}, () => REQUEST_COST), now);
@@ -193,9 +193,9 @@
 		}, this.#now);
 		for (const {subject, amount, waitMs} of loans) {
 			this.#noteLoan(subject, {amount, isShort: waitMs > 0});
-			// Those who ask in vain are spread, so that they do not all ask again at once.
-			const quietMs = Math.max(ASK_GAP_MS, Math.min(MOST_DRY_MS, waitMs)) * (1 + this.#parts.random());
-			this.#quietUntil.set(subject, this.#now + quietMs);
+			// The delay is random, so that gateways without a loan do not all ask again at the same moment.
+			const delayMs = Math.max(MIN_REQUEST_INTERVAL_MS, Math.min(MAX_EXHAUSTED_MS, waitMs)) * (1 + this.#parts.random());
+			this.#nextRequestAt.set(subject, this.#now + delayMs);
 		}
 	}
 
