--- a/apps/valelead-daemon/src/gateway/completion-recorder.ts
+++ b/apps/valelead-daemon/src/gateway/completion-recorder.ts
@@ -43,7 +43,7 @@
 		this.#parts.metrics.stopCuts.inc({arrived: isLate ? 'after' : 'before'});
 	}
 
-	#measure({caller, route, arrivedAt, dispatchedAt, firstChunkAt: firstPartAt}: GatewayRequest, code: ResultCodeValue, now: number): void {
+	#measure({caller, route, arrivedAt, dispatchedAt, firstChunkAt}: GatewayRequest, code: ResultCodeValue, now: number): void {
 		const {metrics} = this.#parts;
 		const labels = {team: metrics.getTeamLabel(caller.team?.name ?? ''), class: route.name};
 		metrics.results.inc({...labels, code});
@@ -53,13 +53,13 @@
 			metrics.usedQuota.inc({team: labels.team}, caller.cost);
 		}
 
-		if (firstPartAt !== undefined) {
-			metrics.firstToken.observe(labels, (firstPartAt - arrivedAt) / MS_PER_SECOND);
+		if (firstChunkAt !== undefined) {
+			metrics.firstToken.observe(labels, (firstChunkAt - arrivedAt) / MS_PER_SECOND);
 		}
 	}
 
 	#log(request: GatewayRequest, end: {readonly code: ResultCodeValue; readonly outcome: OutcomeValue; readonly reason: string}, now: number): void {
-		const {caller, route, head, arrivedAt, dispatchedAt, firstChunkAt: firstPartAt} = request;
+		const {caller, route, head, arrivedAt, dispatchedAt, firstChunkAt} = request;
 		this.#parts.logger.info({
 			event: 'request-ended',
 			requestId: head.id,
@@ -74,7 +74,7 @@
 			attempts: request.attempts,
 			...end,
 			waitedMs: Math.round((dispatchedAt ?? now) - arrivedAt),
-			firstPartMs: firstPartAt === undefined ? undefined : Math.round(firstPartAt - arrivedAt),
+			firstPartMs: firstChunkAt === undefined ? undefined : Math.round(firstChunkAt - arrivedAt),
 			longestPauseMs: Math.round(request.longestPauseMs),
 			tookMs: Math.round(now - arrivedAt),
 			answerFraming: request.answerFraming,
--- a/apps/valelead-daemon/src/gateway/request-quarantine.ts
+++ b/apps/valelead-daemon/src/gateway/request-quarantine.ts
@@ -39,7 +39,7 @@
 	readonly onQuarantined: () => void;
 	/** Called when news of crashes must be reported to the leader immediately. */
 	readonly onCrashNews: () => void;
-	/** Called when all connected gateways apply the decisions that follow from crashes before `until`, in monotonic milliseconds. */
+	/** Called when all gateways connected to the leader apply the decisions on crashes before `until`, in monotonic milliseconds. */
 	readonly onCrashesKnown: (until: number) => void;
 	/** Called when no gateway, connected or not, sends requests without knowing of the crashes before `until`, in monotonic milliseconds. */
 	readonly onCrashesObeyed: (until: number) => void;
@@ -236,7 +236,7 @@
 		this.#parts.onCrashesObeyed(reportedAt);
 	}
 
-	/** Returns true if a request must not be sent until the leader has decided on it. */
+	/** Returns true if a request must not be sent for now, because the leader paused it or because it might crash a fourth upstream. */
 	#isPaused(fingerprint: string): boolean {
 		return !this.isServedLately(fingerprint) && this.#suspects.isPaused(fingerprint, this.#getBegunCrashes(fingerprint));
 	}
--- a/apps/valelead-daemon/tests/abandoned-calls.feature
+++ b/apps/valelead-daemon/tests/abandoned-calls.feature
@@ -1,8 +1,8 @@
 Feature: Calls to upstreams that are given up
-  What is no longer wanted must not be carried out later.
+  An upstream must not execute a call that its sender has given up.
 
-  # Guards against an order or a request that its upstream gets, and carries out, long after it was given up.
-  Scenario Outline: A call that is given up is taken back from its upstream
+  # Guards against an order or a request that its upstream receives and executes long after the sender gave it up.
+  Scenario Outline: The connection of a call that is given up is reset
     When <call> is given up before its upstream answers
     Then it ends as "<end>", and its upstream sees the connection reset
 
--- a/apps/valelead-daemon/tests/abandoned-calls.steps.ts
+++ b/apps/valelead-daemon/tests/abandoned-calls.steps.ts
@@ -12,7 +12,7 @@
 
 const ORDER_TIMEOUT_MS = 100;
 
-/** Only orders are given here. */
+/** A codec that can only encode orders, as these tests send nothing else through it. */
 const CODEC = {
 	newOrderCall: () => ({
 		method: 'POST', path: '/order', headers: {}, body: '{}',
@@ -21,7 +21,7 @@
 
 const newAgentUpstream = (port: number): HttpUpstream => new HttpUpstream('127.0.0.1', port, ORDER_TIMEOUT_MS);
 
-/** Calls, by name: each begins, is given up, and resolves with its end. */
+/** Functions by the name of the call: each starts the call, gives it up, and resolves with its result. */
 const CALLS: Readonly<Record<string, (port: number, upstream: SilentUpstream) => Promise<string>>> = {
 	async 'a sidecar\'s order'(port) {
 		const client = new EngineClient(`127.0.0.1:${port}`, CODEC);
--- a/apps/valelead-daemon/tests/attempt.feature
+++ b/apps/valelead-daemon/tests/attempt.feature
@@ -1,8 +1,8 @@
 Feature: Frames of an answer
-  An answer is passed on as whole only if every frame of this attempt came in order and the counts agree.
+  A response is forwarded as complete only if all frames of the attempt arrived in order and its frame and byte counts match.
 
   @point7
-  Scenario Outline: An answer that is not whole is not passed on as whole
+  Scenario Outline: An incomplete response is not forwarded as complete
     When an agent answers an attempt with frames "<frames>"
     Then the attempt ends as "<end>"
 
--- a/apps/valelead-daemon/tests/broken-answers.feature
+++ b/apps/valelead-daemon/tests/broken-answers.feature
@@ -1,9 +1,9 @@
-Feature: Answers of our own that are broken off
-  A caller that has got a part of an answer can tell it from the whole one.
+Feature: Responses that are aborted
+  A caller that received a part of a response can distinguish it from a complete response.
 
-  # Guards against callers for whom nothing but a reset tells that an answer was broken off.
-  Scenario Outline: A caller of HTTP <version> sees that <answer> was broken off
-    When a caller of HTTP <version> gets a part of "<answer>", which is then broken off
+  # Guards against callers that take an aborted response for complete: with HTTP 1.0 only a reset of the connection shows the difference.
+  Scenario Outline: A caller of HTTP <version> sees that <answer> was aborted
+    When a caller of HTTP <version> gets a part of "<answer>", which is then aborted
     Then the caller sees <sight>
 
     Examples:
@@ -13,7 +13,7 @@
       | 1.0     | an entry's stream that is not taken  | a reset       |
       | 1.1     | an answer of a gateway              | no last chunk |
 
-  # Guards against an unfinished event that the error event after it completes.
-  Scenario: An entry's stream that breaks inside an event ends with its last whole event and an error
-    When an entry passes on "data: a\n\ndata: b" of a stream that then breaks
+  # Guards against an incomplete event that the error event after it completes by accident.
+  Scenario: An entry's stream that fails inside an event ends with its last complete event and an error
+    When an entry forwards "data: a\n\ndata: b" of a stream that then fails
     Then its caller sees "data: a\n\n" and an error event
--- a/apps/valelead-daemon/tests/broken-answers.steps.ts
+++ b/apps/valelead-daemon/tests/broken-answers.steps.ts
@@ -12,12 +12,12 @@
 	sight: Awaited<ReturnType<typeof sendRawRequest>>;
 };
 
-/** More than is held for a slow caller, in bytes. */
-const TOO_MUCH = 16 * 1024 * 1024;
+/** More data than is buffered for a slow caller, in bytes. */
+const MORE_THAN_BUFFERED = 16 * 1024 * 1024;
 
 const STALL_MS = 1000;
 
-/** For a part of an answer to be read, in milliseconds. */
+/** Time in which the caller reads a part of a response, in milliseconds. */
 const READ_MS = 20;
 
 const EVENT = 'data: a\n\n';
@@ -37,25 +37,25 @@
 	return sink;
 };
 
-/** Ways in which a part of an answer is written, and the answer broken off. */
+/** Functions by the name of the response: each writes a part of it and then aborts it. */
 const BROKEN: Readonly<Record<string, (response: ServerResponse) => void>> = {
 	'an answer of a gateway'(response) {
 		const answer = newAnswer(response);
 		answer.data(Buffer.from(EVENT));
-		// Once the caller has read the part: Node tells it of a reset that comes with bytes as of an orderly end.
+		// The caller must have read the part by then: Node.js reports a reset that arrives together with data as a normal end.
 		setTimeout(() => {
 			answer.refuse(REFUSAL);
 		}, READ_MS);
 	},
 	'a gateway\'s stream that is not taken'(response) {
-		newAnswer(response).data(Buffer.alloc(TOO_MUCH, EVENT));
+		newAnswer(response).data(Buffer.alloc(MORE_THAN_BUFFERED, EVENT));
 	},
 	'an entry\'s stream that is not taken'(response) {
-		newSink(response).data(Buffer.alloc(TOO_MUCH, EVENT));
+		newSink(response).data(Buffer.alloc(MORE_THAN_BUFFERED, EVENT));
 	},
 };
 
-When('a caller of HTTP {} gets a part of {string}, which is then broken off', async function (this: BrokenWorld, version: string, answer: string) {
+When('a caller of HTTP {} gets a part of {string}, which is then aborted', async function (this: BrokenWorld, version: string, answer: string) {
 	this.sight = await sendRawRequest(version, BROKEN[answer]);
 });
 
@@ -68,7 +68,7 @@
 	assert.ok(!this.sight.text.endsWith('0\r\n\r\n'));
 });
 
-When('an entry passes on {string} of a stream that then breaks', async function (this: BrokenWorld, part: string) {
+When('an entry forwards {string} of a stream that then fails', async function (this: BrokenWorld, part: string) {
 	this.sight = await sendRawRequest('1.0', response => {
 		const sink = newSink(response);
 		sink.data(Buffer.from(part.replaceAll(String.raw`\n`, '\n')));
--- a/apps/valelead-daemon/tests/faulty-retry-step.ts
+++ b/apps/valelead-daemon/tests/faulty-retry-step.ts
@@ -1,12 +1,12 @@
 import fc from 'fast-check';
 import {RETRY_STEP} from './retry-step.js';
 
-/** The most gateways of a modelled installation. */
+/** The most gateways in a modelled installation. */
 const MAX_GATEWAYS = 9;
 
 const FAULT = fc.constantFrom('mute' as const, 'delay' as const, 'pause' as const);
 
-/** Steps of a history, with reports that are lost, updates that are held up, pauses, and time without a leader. */
+/** Generates the steps of a history that also includes lost reports, delayed updates, paused processes and times without a leader. */
 export const FAULTY_RETRY_STEP = fc.oneof(
 	{weight: 10, arbitrary: RETRY_STEP},
 	{weight: 8, arbitrary: fc.record({kind: fc.constant('pass' as const), ms: fc.integer({min: 250, max: 4000}), share: fc.constant(1)})},
--- a/apps/valelead-daemon/tests/limited-upstreams.steps.ts
+++ b/apps/valelead-daemon/tests/limited-upstreams.steps.ts
@@ -14,11 +14,11 @@
 	time: VirtualTime;
 	suspensions: {resumedAt: number; lostMs: number};
 	limits: UpstreamLimits;
-	/** How often the leader had to be told at once. */
+	/** Number of times that a report to the leader was due immediately. */
 	needs: number;
 	reportedAt: number;
 	told: ReturnType<UpstreamLimits['getReport']>['sightings'];
-	/** When the leader named the limit. */
+	/** When the leader sent the limit, in milliseconds of the virtual time. */
 	namedAt: number;
 	book: LimitBook;
 };
--- a/apps/valelead-daemon/tests/retry-budget.feature
+++ b/apps/valelead-daemon/tests/retry-budget.feature
@@ -1,7 +1,7 @@
 Feature: The retries of all gateways together
-  A service gets no more arrivals beyond the first of each request, in any window of 10 seconds, than a fifth of its requests and a reserve of 64.
+  In any window of 10 seconds, the retries that a service receives do not exceed a fifth of its requests plus a reserve of 64.
 
-  # Guards against a reserve that is spent anew by each start of a gateway.
+  # Guards against a reserve that each start of a gateway can spend again.
   Scenario Outline: Gateways that are killed again and again share one reserve
     Given 9 gateways whose leader has counted them
     When every request fails, and all gateways are killed <times> times, <gap> ms apart
@@ -13,7 +13,7 @@
       | 3     | 3000 |
       | 5     | 1500 |
 
-  # Guards against shares that together are more than the reserve: after starts, elections, cuts and departures.
+  # Guards against shares whose sum exceeds the reserve after starts, elections, network partitions and departures of gateways.
   Scenario Outline: Random histories of <gateways> gateways
     Then in 60 random histories with <gateways> gateways the service gets no more repeats than its budget allows
 
@@ -23,14 +23,14 @@
       | 5        |
       | 9        |
 
-  # Guards against a budget that is kept by sending no retries.
+  # Guards against a budget that is never exceeded only because no retries are sent.
   Scenario: Gateways that run for a while use the reserve
     Given 9 gateways whose leader has counted them
     When every request fails for 10000 ms
     Then the service gets at least 0.7 of the repeats that its budget allows
 
-  # Guards against a share that a gateway has at once when it is counted, as its process began long ago: others may just have spent it.
-  Scenario: A gateway that heard no leader for long has no share at once
+  # Guards against a gateway that gets a share as soon as it is counted because its process started long ago: other gateways may just have spent it.
+  Scenario: A gateway that had no leader for a long time does not get a share at once
     Given 2 gateways whose leader has counted them
     When the last one is taken away for 40000 ms and then runs without a leader for 12000 ms
     And every request fails for 7000 ms
@@ -38,7 +38,7 @@
     And every request fails for 3000 ms
     Then the service gets no more repeats than its budget allows
 
-  # Guards against a share that a leader gives away while a gateway that it never heard still spends its own.
+  # Guards against a leader that assigns a share to other gateways while a gateway that it has no report of still spends it.
   Scenario: A gateway that a new leader has not heard still counts
     Given 2 gateways whose leader has counted them
     When the last one hears no leader any more, another leader begins and the first one is killed
@@ -46,20 +46,20 @@
     And every request fails for 8000 ms
     Then the service gets no more repeats than its budget allows
 
-  # Guards against callers that fail at the first start of an installation, when no retry can have been spent.
+  # Guards against failed requests at the first start of an installation, when no retry can have been spent yet.
   Scenario: Gateways of an installation that gets its first routing may retry at once
     Given 9 gateways that follow the leader of an installation without a routing
     When it gets one, every request fails for 1000 ms, and all gateways are killed 0 times, 0 ms apart
     Then the service gets between 27 and 33 repeats
 
-  # Shows what the scenario above measures: nobody tells the gateways that no retry has been spent.
+  # A control for the scenario above: here the leader does not inform the gateways that no retry has been spent.
   @off
   Scenario: Gateways that are not told of unspent retries hardly retry at first
     Given 9 gateways that follow such a leader, which tells nothing of unspent retries
     When it gets one, every request fails for 1000 ms, and all gateways are killed 0 times, 0 ms apart
     Then the service gets between 0 and 6 repeats
 
-  # Guards against retries of the first start that every process gets anew.
+  # Guards against retries for the first start that every new process of a gateway gets again.
   Scenario Outline: Gateways that are killed again and again after the first routing share one reserve
     Given <gateways> gateways that follow the leader of an installation without a routing
     When it gets one, every request fails for 2000 ms, and all gateways are killed <times> times, <gap> ms apart
@@ -71,7 +71,7 @@
       | 2        | 3     | 3000 |
       | 9        | 5     | 1500 |
 
-  # Guards against first shares that together with later ones are more than the reserve, beside lost reports, late updates, pauses and deaths of leaders.
+  # Guards against first shares whose sum with later shares exceeds the reserve, with lost reports, delayed updates, pauses and crashes of leaders.
   Scenario Outline: Random histories from the first start of <gateways> gateways
     Then in 60 random histories from the first start of <gateways> gateways the service gets no more repeats than its budget allows
 
--- a/apps/valelead-daemon/tests/retry-budget.steps.ts
+++ b/apps/valelead-daemon/tests/retry-budget.steps.ts
@@ -8,21 +8,21 @@
 
 type RetryWorld = {
 	retries: RetryModel;
-	/** Repeats before the failures began. */
+	/** Number of retries before the failures began. */
 	before: number;
 };
 
 type Step = typeof FAULTY_RETRY_STEP extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Longer than a gateway runs before it has its part of the reserve, in milliseconds. */
+/** More than the time that a gateway must run before it gets its share of the reserve, in milliseconds. */
 const WARM_UP_MS = 15_000;
 
-/** What the budget allows 9 gateways in a window: 40 ticks of a request each, and the reserve. */
-const ALLOWED = (0.2 * 9 * 40) + 64;
+/** The retries that the budget allows 9 gateways in a window: a fifth of the requests, which are one per tick for 40 ticks, plus the reserve. */
+const ALLOWED_RETRIES = (0.2 * 9 * 40) + 64;
 
 const HISTORY_STEPS = 40;
 
-const play = (model: RetryModel, step: Step): void => {
+const applyStep = (model: RetryModel, step: Step): void => {
 	switch (step.kind) {
 		case 'pass': {
 			model.pass(step.ms, step.share);
@@ -96,25 +96,26 @@
 	this.before = this.retries.repeats;
 });
 
-/** The most steps before the first routing, and after it. */
-const FIRST_STEPS = 6;
+/** The most steps of a history before the installation's first routing configuration. */
+const MAX_STEPS_BEFORE_ROUTING = 6;
 
-const EARLY_STEPS = 15;
+/** The most steps of a history after the installation's first routing configuration. */
+const MAX_STEPS_AFTER_ROUTING = 15;
 
 const newFirstStart = (gateways: number, isFirstShared: boolean): RetryModel => new RetryModel(gateways, {hasRouting: false, isFirstShared});
 
-/** The most repeats over the budget in a random history that begins with the first start of an installation. */
+/** Plays a history that begins with the first start of an installation, and returns the most retries beyond the budget in any window. */
 const playFirstStart = (gateways: number, isFirstShared: boolean, before: readonly Step[], after: readonly Step[]): number => {
 	const model = newFirstStart(gateways, isFirstShared);
 	for (const step of before) {
-		play(model, step);
+		applyStep(model, step);
 	}
 
 	model.lead();
 	model.pass(250, 0);
 	model.route();
 	for (const step of after) {
-		play(model, step);
+		applyStep(model, step);
 	}
 
 	return model.excess;
@@ -180,7 +181,7 @@
 
 Then('the service gets at least {float} of the repeats that its budget allows', function (this: RetryWorld, share: number) {
 	const repeats = this.retries.repeats - this.before;
-	assert.ok(repeats >= share * ALLOWED, `${repeats} of ${ALLOWED}`);
+	assert.ok(repeats >= share * ALLOWED_RETRIES, `${repeats} of ${ALLOWED_RETRIES}`);
 });
 
 Then('in {int} random histories with {int} gateways the service gets no more repeats than its budget allows', {timeout: 60_000}, (runs: number, gateways: number) => {
@@ -188,7 +189,7 @@
 		const model = new RetryModel(gateways);
 		model.pass(WARM_UP_MS, 0);
 		for (const step of steps) {
-			play(model, step);
+			applyStep(model, step);
 		}
 
 		assert.ok(model.excess <= 0, `${model.excess} more`);
@@ -196,8 +197,8 @@
 });
 
 Then('in {int} random histories from the first start of {int} gateways the service gets no more repeats than its budget allows', {timeout: 60_000}, (runs: number, gateways: number) => {
-	const before = fc.array(FAULTY_RETRY_STEP, {maxLength: FIRST_STEPS});
-	const after = fc.array(FAULTY_RETRY_STEP, {minLength: 5, maxLength: EARLY_STEPS, size: 'max'});
+	const before = fc.array(FAULTY_RETRY_STEP, {maxLength: MAX_STEPS_BEFORE_ROUTING});
+	const after = fc.array(FAULTY_RETRY_STEP, {minLength: 5, maxLength: MAX_STEPS_AFTER_ROUTING, size: 'max'});
 	fc.assert(fc.property(before, after, (first, rest) => {
 		const excess = playFirstStart(gateways, true, first, rest);
 		assert.ok(excess <= 0, `${excess} more`);
--- a/apps/valelead-daemon/tests/retry-model.ts
+++ b/apps/valelead-daemon/tests/retry-model.ts
@@ -7,10 +7,10 @@
 	FirstShares, GatewayCensus, GatewayCount, newGatewayAdmission,
 } from 'valelead-daemon';
 
-/** What a leader told a gateway. */
+/** An update of the leader to a gateway. */
 type Update = {
 	readonly count: number;
-	/** When the gateway made the last report that had come by then. */
+	/** When the gateway sent the last report that the leader had received by then, in milliseconds of the model. */
 	readonly askedAt: number;
 	readonly hasRouting: boolean;
 	readonly unspentShares: number;
@@ -20,32 +20,33 @@
 	readonly vm: string;
 	readonly state: AdmissionState;
 	readonly count: GatewayCount;
-	/** Without one it sends nothing. */
+	/** True once the gateway has a routing configuration; it sends no requests before. */
 	hasRouting: boolean;
-	/** Whether no leader is heard. */
+	/** True while the gateway is partitioned from the leader. */
 	isCut: boolean;
-	/** Whether its reports are lost on their way, but no updates. */
+	/** True while the gateway's reports are lost but the leader's updates arrive. */
 	isMute: boolean;
-	/** Whether updates are on their way for long. */
+	/** True while the leader's updates to the gateway are delayed. */
 	isDelayed: boolean;
-	/** Whether the process is paused. */
+	/** True while the gateway's process is paused. */
 	isPaused: boolean;
 	readonly updates: Update[];
 };
 
-/** What a leader knows of a gateway. */
+/** A leader's session with a gateway. */
 type ModelSession = {
 	askedAt: number;
 	hasRouting: boolean;
 };
 
-/** Whether the installation has a routing from the beginning on, and whether its leaders tell of retries that nobody has spent. */
-type ModelTerms = {
+type ModelOptions = {
+	/** True if the installation has a routing configuration from the start. */
 	readonly hasRouting: boolean;
+	/** True if leaders inform gateways of shares of the retry budget that cannot have been spent. */
 	readonly isFirstShared: boolean;
 };
 
-/** What arrived at the service in one tick. */
+/** Arrivals at the service in one tick: first attempts and retries. */
 type Tick = {
 	requests: number;
 	repeats: number;
@@ -57,11 +58,11 @@
 const RESERVE = 64;
 const TARGET = 'service/s';
 
-/** Enough that a request always finds one that it may try again. */
+/** There are enough upstreams for a request to always find one that it has not tried. */
 const UPSTREAMS = Array.from({length: 12}, (_, index) => ({vm: `u${index}`, dataCentre: 'd', places: 1000}));
 const NO_SUSPENSIONS = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 
-/** Gateways that send requests to one service, some of which fails, with the shipped budget and the shipped ways to count gateways. */
+/** A model of gateways that send requests, some of which fail, to one service. It uses the real retry budget and the real counting of gateways. */
 export class RetryModel {
 	readonly ticks: Tick[] = [];
 	#now = 0;
@@ -69,7 +70,7 @@
 	readonly #clock = {now: () => this.#now, wallNow: () => this.#now};
 	readonly #gateways: Array<ModelGateway | undefined>;
 	#census = new GatewayCensus(this.#clock);
-	readonly #terms: ModelTerms;
+	readonly #options: ModelOptions;
 	#hasRouting: boolean;
 	#hasLeader = true;
 	#term = 1;
@@ -77,8 +78,8 @@
 	#firstShares: FirstShares;
 	#sessions = new Map<ModelGateway, ModelSession>();
 
-	constructor(gateways: number, {hasRouting = true, isFirstShared = true}: Partial<ModelTerms> = {}) {
-		this.#terms = {hasRouting, isFirstShared};
+	constructor(gateways: number, {hasRouting = true, isFirstShared = true}: Partial<ModelOptions> = {}) {
+		this.#options = {hasRouting, isFirstShared};
 		this.#hasRouting = hasRouting;
 		this.#firstShares = this.#newFirstShares();
 		this.#gateways = Array.from({length: gateways}, (_, index) => this.#newGateway(index));
@@ -88,7 +89,7 @@
 		return this.#gateways.length;
 	}
 
-	/** Time passes; each gateway gets a request a tick, and a share of them fails at every upstream. */
+	/** Advances the time; each gateway gets one request per tick, and the given fraction of them fails at every upstream. */
 	pass(ms: number, share: number): void {
 		for (let passedMs = 0; passedMs < ms; passedMs += TICK_MS) {
 			this.#now += TICK_MS;
@@ -106,7 +107,7 @@
 		}
 	}
 
-	/** A gateway's process is killed and starts again. */
+	/** Kills a gateway's process and starts it again. */
 	kill(index: number): void {
 		this.#gateways[index] &&= this.#newGateway(index);
 	}
@@ -119,7 +120,7 @@
 		this.lead();
 	}
 
-	/** Another leader begins, which has heard nobody. */
+	/** Starts a new leader, which has received no reports yet. */
 	lead(): void {
 		this.#hasLeader = true;
 		this.#term += 1;
@@ -128,13 +129,13 @@
 		this.#sessions = new Map();
 	}
 
-	/** The leader is killed, and there is none until another one begins. */
+	/** Kills the leader; there is none until a new one starts. */
 	killLeader(): void {
 		this.#hasLeader = false;
 		this.#sessions = new Map();
 	}
 
-	/** The leader of an installation without a routing gets one. */
+	/** Gives the leader of an installation its first routing configuration. */
 	route(): void {
 		if (!this.#hasRouting && this.#hasLeader) {
 			this.#hasRouting = true;
@@ -143,7 +144,7 @@
 		}
 	}
 
-	/** A gateway's reports are lost, or come again. */
+	/** Toggles whether a gateway's reports are lost. */
 	mute(index: number): void {
 		const gateway = this.#gateways[index];
 		if (gateway) {
@@ -151,7 +152,7 @@
 		}
 	}
 
-	/** Updates to a gateway are held up, or come together. */
+	/** Toggles whether updates to a gateway are delayed; delayed updates arrive together. */
 	delay(index: number): void {
 		const gateway = this.#gateways[index];
 		if (gateway) {
@@ -159,7 +160,7 @@
 		}
 	}
 
-	/** A gateway's process is paused, or goes on. */
+	/** Pauses or resumes a gateway's process. */
 	pause(index: number): void {
 		const gateway = this.#gateways[index];
 		if (gateway) {
@@ -167,7 +168,7 @@
 		}
 	}
 
-	/** A gateway hears no leader any more, or does again. */
+	/** Partitions a gateway from the leader, or ends the partition. */
 	cut(index: number): void {
 		const gateway = this.#gateways[index];
 		if (gateway) {
@@ -177,7 +178,7 @@
 		}
 	}
 
-	/** A gateway that was taken away comes back. */
+	/** Adds a gateway again that was removed. */
 	join(index: number): void {
 		this.#gateways[index] ??= this.#newGateway(index);
 	}
@@ -186,7 +187,7 @@
 		this.#gateways[index] = undefined;
 	}
 
-	/** The most arrivals beyond the first of each request in any window, less those that the budget allows. */
+	/** The most retries in any window, minus those that the budget allows. */
 	get excess(): number {
 		let excess = Number.NEGATIVE_INFINITY;
 		for (let end = 1; end <= this.ticks.length; end += 1) {
@@ -221,7 +222,7 @@
 			vm: `gateway-${index}`,
 			state: newAdmissionState(),
 			count: new GatewayCount({clock: this.#clock, suspensions: NO_SUSPENSIONS}),
-			hasRouting: this.#terms.hasRouting,
+			hasRouting: this.#options.hasRouting,
 			isCut: false,
 			isMute: false,
 			isDelayed: false,
@@ -232,7 +233,7 @@
 		return gateway;
 	}
 
-	/** A gateway reports to the leader, which answers; it hears what has come by then. */
+	/** Sends a report of a gateway to the leader, which answers, and applies the updates that have arrived. */
 	#exchange(gateway: ModelGateway): void {
 		if (!gateway.isCut && this.#hasLeader) {
 			this.#report(gateway);
@@ -260,7 +261,7 @@
 	#newUpdate({vm}: ModelGateway, session: ModelSession): Update {
 		const hasRouting = this.#hasRouting && !session.hasRouting;
 		session.hasRouting ||= hasRouting;
-		const unspentShares = hasRouting && this.#terms.isFirstShared ? this.#firstShares.take({vm}) : 0;
+		const unspentShares = hasRouting && this.#options.isFirstShared ? this.#firstShares.take({vm}) : 0;
 		return {
 			count: this.#census.count, askedAt: session.askedAt, hasRouting, unspentShares,
 		};
--- a/apps/valelead-daemon/tests/retry-step.ts
+++ b/apps/valelead-daemon/tests/retry-step.ts
@@ -1,11 +1,11 @@
 import fc from 'fast-check';
 
-/** The most gateways of a modelled installation. */
+/** The most gateways in a modelled installation. */
 const MAX_GATEWAYS = 9;
 
 const GATEWAY = fc.nat(MAX_GATEWAYS - 1);
 
-/** Steps of a history: time with requests, and what happens to gateways and leaders. */
+/** Generates the steps of a history: time that passes with requests, and faults of gateways and leaders. */
 export const RETRY_STEP = fc.oneof(
 	{weight: 6, arbitrary: fc.record({kind: fc.constant('pass' as const), ms: fc.integer({min: 100, max: 4000}), share: fc.double({min: 0, max: 1, noNaN: true})})},
 	{weight: 2, arbitrary: fc.record({kind: fc.constant('kill' as const), index: GATEWAY})},
--- a/apps/valelead-daemon/tests/send-attempt.ts
+++ b/apps/valelead-daemon/tests/send-attempt.ts
@@ -2,14 +2,14 @@
 import {type CallerCodec, type UpstreamAgent, UpstreamAttempt} from 'valelead-daemon';
 
 type AttemptResult = {
-	/** `whole`, or the result code and the outcome of a failure. */
+	/** Is `whole` for a complete response; otherwise the result code and the outcome of the failure. */
 	readonly end: string;
 	readonly body: string;
-	/** What became of the connection; undefined where the answer was whole. */
+	/** The state of the connection after a failure; undefined if the response was complete. */
 	readonly connection?: string;
 };
 
-/** A codec of the tests' own: the answer's id stands in `id`, refusals in `not-run`, another upstream in `other`. */
+/** A codec for tests: the header `id` holds the request id, `not-run` marks a refusal, and `other` marks the response of another upstream. */
 const CODEC: CallerCodec = {
 	readinessPath: '/ready',
 	decodeRequest: () => ({
@@ -24,7 +24,7 @@
 	}),
 };
 
-/** Sends a request to an upstream on this machine. */
+/** Sends a GET request to an upstream at the loopback address, and calls `onOver` with the result. */
 export const sendAttempt = (port: number, agent: UpstreamAgent, onOver: (result: AttemptResult) => void): UpstreamAttempt => {
 	const chunks: Buffer[] = [];
 	return new UpstreamAttempt({
--- a/apps/valelead-daemon/tests/send-raw-request.ts
+++ b/apps/valelead-daemon/tests/send-raw-request.ts
@@ -4,11 +4,11 @@
 
 type CallerView = {
 	readonly text: string;
-	/** How the connection ended. */
+	/** How the connection ended, as the caller saw it. */
 	readonly end: 'closed' | 'reset';
 };
 
-/** Asks over a plain connection, with an answer that a function writes, and resolves with what the caller sees. */
+/** Sends a request over a plain TCP connection to a server that runs `answer`, and resolves with the response as the caller sees it. */
 export const sendRawRequest = async (version: string, answer: (response: ServerResponse) => void): Promise<CallerView> => {
 	const server = createServer((_message, response) => {
 		answer(response);
--- a/apps/valelead-daemon/tests/silent-upstream.ts
+++ b/apps/valelead-daemon/tests/silent-upstream.ts
@@ -3,10 +3,10 @@
 	type AddressInfo, type Server, type Socket, createServer,
 } from 'node:net';
 
-/** An upstream that takes one request and answers nothing. */
+/** A TCP server that accepts one request and never answers it. */
 export class SilentUpstream {
 	readonly #server: Server;
-	/** Resolves with the connection on which the first request comes. */
+	/** Resolves with the connection on which the first request arrives. */
 	readonly #connection: Promise<Socket>;
 
 	constructor() {
@@ -20,19 +20,19 @@
 		});
 	}
 
-	/** Resolves once a request has come. */
+	/** Resolves once a request has arrived. */
 	get request(): Promise<unknown> {
 		return this.#connection;
 	}
 
-	/** Listens and returns its port. */
+	/** Starts listening and resolves with the port. */
 	async listen(): Promise<number> {
 		this.#server.listen(0, '127.0.0.1');
 		await once(this.#server, 'listening');
 		return (this.#server.address() as AddressInfo).port;
 	}
 
-	/** Resolves with how the other side ends the connection: `closed`, `reset`, or another error. */
+	/** Resolves when the other side ends the connection, with `closed`, `reset` or the code of another error. */
 	async getConnectionEnd(): Promise<string> {
 		const socket = await this.#connection;
 		return new Promise(resolve => {
--- a/apps/valelead-daemon/tests/upstream-attempt.feature
+++ b/apps/valelead-daemon/tests/upstream-attempt.feature
@@ -1,5 +1,5 @@
-Feature: One sending of a request to an upstream
-  Only the whole answer to this very request counts; what is known of its execution is never more than was seen.
+Feature: One attempt to send a request to an upstream
+  Only the complete response to this request counts, and the reported outcome states no more about its execution than was observed.
 
   Scenario Outline: How an answer ends
     When an upstream answers with "<answer>"
@@ -23,8 +23,8 @@
     When nobody listens at the upstream's address
     Then the sending ends as "3008 not_run"
 
-  # Guards against a request that reaches its upstream after the caller has left: a connection that is closed goes on delivering what was sent.
-  Scenario Outline: An attempt that is given up takes back what its upstream has not received
+  # Guards against a request that reaches its upstream after the caller has disconnected: a connection that is closed still delivers the data sent before.
+  Scenario Outline: The connection of an attempt that is given up is reset
     When an attempt is <ended> before its upstream answers
     Then the upstream sees its connection reset
 
@@ -33,38 +33,38 @@
       | cancelled          |
       | given up as silent |
 
-  # Guards against a connection that is reset after the answer to its request was whole, perhaps under the next request.
+  # Guards against a connection that is reset after the response on it was complete, and perhaps while the next request is in progress on it.
   Scenario: A connection outlives the requests that were answered on it
     When an upstream answers 5 requests, one after the other
     Then all answers were whole, and they came on 1 connection that nobody reset
 
-  Scenario: A second answer on a kept connection is not taken for the next one
+  Scenario: A surplus response on a kept connection is not taken as the response to the next request
     When an upstream sends two answers to the first of two requests on one connection
     Then the second request gets its own answer on a new connection
 
-  Scenario: A stream is cut into whole events
+  Scenario: A stream is split into complete events
     When the pieces "id: 1\ndata: a\n|\nid: 2\nda|ta: b\n\nid: 3\ndata" of a stream arrive
     Then the events passed on are "id: 1\ndata: a\n\n|id: 2\ndata: b\n\n" and the last id is "2"
 
-  # Guards against callers that give up on a long prefill, as the comments that an engine sends meanwhile stay in the gateway.
-  Scenario: A comment of a stream that can be resumed is passed on before the next event
+  # Guards against callers that time out during a long prefill because the gateway withholds the comments that the engine sends meanwhile.
+  Scenario: A comment of a stream that can be resumed is forwarded before the next event
     When the pieces ": alive\n\n|id: 1\ndata: a\n\n|: alive\n\n" of a stream arrive
     Then the events passed on are ": alive\n\n|id: 1\ndata: a\n\n|: alive\n\n" and the last id is "1"
 
-  # Guards against callers that see each event only with the next one, as they wait for the line feed of its last line.
-  Scenario: An event whose lines end with CRLF is passed on with its last line feed
+  # Guards against callers that receive each event only with the next one, as the final line feed of the event is withheld until then.
+  Scenario: An event whose lines end with CRLF is forwarded with its last line feed
     When the pieces "id: 1\r\ndata: a\r\n\r\n|id: 2\r\ndata: b\r\n\r|\nid: 3\r\n" of a stream arrive
     Then the events passed on are "id: 1\r\ndata: a\r\n\r\n|id: 2\r\ndata: b\r\n\r|\n" and the last id is "2"
 
-  # Guards against a caller that reads the byte order mark of a second engine's stream as a part of a field's name and loses that line.
-  Scenario: A stream that goes on at a second engine holds no byte order mark in its middle
+  # Guards against a caller that takes the byte order mark of a second engine's stream for a part of a field name and so loses that line.
+  Scenario: A stream that is resumed on a second engine has no byte order mark in its middle
     When "\uFEFFid: 1\ndata: a\n\nid: 2\nda" of a stream is passed on and it goes on with "\uFEFFid: 2\ndata: b\n\n"
     Then the caller gets "\uFEFFid: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 
-  Scenario: Headers of one connection are not passed on
+  Scenario: Hop-by-hop headers are not forwarded
     When the headers "Host: a|Connection: keep-alive, X-Mine|X-Mine: 1|X-Other: 2|Transfer-Encoding: chunked|Content-Length: 3" are passed on
     Then these remain: "Host: a|X-Other: 2"
 
-  Scenario: All gateways together stay within the installation's retries
+  Scenario: All gateways together stay within the installation's retry budget
     When 7 gateways share a reserve of 58 retries and a ratio of 0.2
     Then together they start with less than 58 retries and earn less than 0.2 for a request
--- a/apps/valelead-daemon/tests/upstream-attempt.steps.ts
+++ b/apps/valelead-daemon/tests/upstream-attempt.steps.ts
@@ -16,7 +16,7 @@
 
 type AttemptWorld = {
 	end: string;
-	/** How the upstream's side of a connection ended. */
+	/** Resolves with the way in which the connection ended on the upstream's side. */
 	connectionEnd: Promise<string> | undefined;
 	ends: string[];
 	resets: number;
@@ -29,7 +29,7 @@
 	admissions: Array<ReturnType<typeof newGatewayAdmission>>;
 };
 
-/** Until an answer and what it led to are over, in milliseconds. */
+/** Time in which a response and its effects on the connection are complete, in milliseconds. */
 const SETTLE_MS = 20;
 
 const HEAD = 'HTTP/1.1 200 OK\r\nid: 1\r\n';
@@ -48,7 +48,7 @@
 	'another upstream': {bytes: 'HTTP/1.1 421 Other\r\nid: 1\r\nother: x\r\ncontent-length: 0\r\n\r\n', end: 'keep'},
 };
 
-/** A request for a stream that may be resumed. */
+/** Returns a request for a stream that may be resumed, whose response data is appended to `passed`. */
 const newStreamRequest = (passed: string[]): GatewayRequest => {
 	const answer = {
 		isStarted: false,
@@ -94,7 +94,7 @@
 		if (end === 'close') {
 			socket.end();
 		} else if (end === 'reset') {
-			// Both reach the client in one turn of its event loop.
+			// The data and the reset reach the client in the same turn of its event loop.
 			socket.resetAndDestroy();
 		}
 	});
