--- a/apps/valelead-daemon/src/gateway/new-ticket.ts
+++ b/apps/valelead-daemon/src/gateway/new-admission-request.ts
@@ -6,7 +6,7 @@
 const SPARE_ATTEMPTS = 2;
 
 /** Returns the fields of a request on which the admission decides. */
-export const newTicket = ({id, caller, route, service, target, arrivedAt, deadlineAt}: GatewayRequest): Ticket => ({
+export const newAdmissionRequest = ({id, caller, route, service, target, arrivedAt, deadlineAt}: GatewayRequest): Ticket => ({
 	requestId: id,
 	team: caller.team?.name ?? '',
 	teamWeight: 1,
--- a/apps/valelead-daemon/src/gateway/request-dispatcher.ts
+++ b/apps/valelead-daemon/src/gateway/request-dispatcher.ts
@@ -20,7 +20,7 @@
 import {getHonestCode} from './get-honest-code.js';
 import {LoadPlanner} from './load-planner.js';
 import {newAttemptEnd} from './new-attempt-end.js';
-import {newTicket} from './new-ticket.js';
+import {newAdmissionRequest} from './new-admission-request.js';
 import {UpstreamLimits} from './upstream-limits.js';
 import {UpstreamBook} from './upstream-book.js';
 import type {AttemptEnd} from './attempt-end.js';
@@ -178,7 +178,7 @@
 		this.#requests.set(request.id, request);
 		this.#take({
 			kind: 'arrive',
-			ticket: newTicket(request),
+			ticket: newAdmissionRequest(request),
 			limits: LIMITS,
 		});
 		this.#demand.tellSoon();
