--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -120,7 +120,7 @@
 			}
 
 			case CONNECTION_END.Broken: {
-				this.#noteBroken(request, upstream, end, passOn);
+				this.#handleBrokenConnection(request, upstream, end, passOn);
 				break;
 			}
 
@@ -146,16 +146,16 @@
 		}
 	}
 
-	#noteBroken(request: GatewayRequest, {id, address}: Upstream, {phase}: AttemptEnd, passOn: (isLast: boolean) => void): void {
+	#handleBrokenConnection(request: GatewayRequest, {id, address}: Upstream, {phase}: AttemptEnd, passOn: (isLast: boolean) => void): void {
 		const fingerprint = this.#getFingerprint(request);
-		const isServedLately = this.#quarantine.isServedLately(fingerprint);
+		const isServedRecently = this.#quarantine.isServedLately(fingerprint);
 		// A request whose response body had begun, or that was answered recently, is unlikely to have crashed its upstream.
-		const isPossibleCause = phase !== SUSPECT_PHASE.Running && !isServedLately && !this.#observer.isLeaving(id);
+		const isPossibleCause = phase !== SUSPECT_PHASE.Running && !isServedRecently && !this.#observer.isLeaving(id);
 		// If the request caused the crash, a retry would crash the next upstream too. If not, it could run beside the actual cause again and be blamed.
 		const hadBegun = isPossibleCause && phase === SUSPECT_PHASE.Begun;
 		const isSuspected = this.#quarantine.isSuspected(fingerprint);
 		const mostMs = isPossibleCause ? this.#getHoldMs(hadBegun) : 0;
-		if (!isServedLately) {
+		if (!isServedRecently) {
 			this.#observer.recordBrokenConnection({upstreamId: id, address, suspect: {fingerprint, phase}});
 		}
 
--- a/apps/valelead-daemon/src/gateway/rate-limit-entry.ts
+++ b/apps/valelead-daemon/src/gateway/rate-limit-entry.ts
@@ -5,8 +5,8 @@
 	/** When the gateway learned that the upstream has a limit. */
 	readonly knownAt: number;
 	/** The limit in the last response of the upstream, or the leader's value before any response; undefined if the response stated no limit. */
-	seenPerSecond: number | undefined;
-	seenAt: number;
+	observedPerSecond: number | undefined;
+	observedAt: number;
 	/** When the last observed limit was reported to the leader; undefined if the leader may not know it. */
-	toldAt: number | undefined;
+	lastReportedAt: number | undefined;
 };
--- a/apps/valelead-daemon/src/gateway/rate-limit-table.ts
+++ b/apps/valelead-daemon/src/gateway/rate-limit-table.ts
@@ -51,7 +51,7 @@
 	noteAnswer(upstreamId: string, perSecond: number | undefined, startedAt: number): void {
 		const known = this.#known.get(upstreamId);
 		if (known) {
-			this.#noteSeen(upstreamId, known, perSecond, startedAt);
+			this.#recordObserved(upstreamId, known, perSecond, startedAt);
 			return;
 		}
 
@@ -62,12 +62,12 @@
 	}
 
 	/** Returns the observed limits that the leader may not know, and marks them as reported at the given time. */
-	takeSightings(sentAt: number): LimitSighting[] {
+	takeUnreported(sentAt: number): LimitSighting[] {
 		const sightings: LimitSighting[] = [];
 		for (const [upstreamId, known] of this.#known) {
-			if (known.toldAt === undefined) {
-				known.toldAt = sentAt;
-				sightings.push({upstreamId, perSecond: known.seenPerSecond, at: known.seenAt});
+			if (known.lastReportedAt === undefined) {
+				known.lastReportedAt = sentAt;
+				sightings.push({upstreamId, perSecond: known.observedPerSecond, at: known.observedAt});
 			}
 		}
 
@@ -77,7 +77,7 @@
 	/** Marks all limits as unreported, as a new leader or session does not know earlier reports. */
 	markAllUnreported(): void {
 		for (const known of this.#known.values()) {
-			known.toldAt = undefined;
+			known.lastReportedAt = undefined;
 		}
 	}
 
@@ -86,11 +86,11 @@
 	 * @param reportedAt - When the gateway created the report that the list answers, in monotonic milliseconds.
 	 * @returns True if the list comes from a new leader, to which all limits must be reported.
 	 */
-	takeList({term, limits}: LimitList, reportedAt: number): boolean {
+	applyList({term, limits}: LimitList, reportedAt: number): boolean {
 		const isNewTerm = term !== this.#term;
 		this.#term = term;
 		for (const {upstreamId, perSecond} of limits) {
-			this.#takeListed(upstreamId, perSecond, reportedAt);
+			this.#applyListed(upstreamId, perSecond, reportedAt);
 		}
 
 		if (!isNewTerm) {
@@ -110,24 +110,24 @@
 		}
 	}
 
-	#add(upstreamId: string, perSecond: number, toldAt: number | undefined): void {
+	#add(upstreamId: string, perSecond: number, lastReportedAt: number | undefined): void {
 		const now = this.#parts.clock.now();
 		this.#known.set(upstreamId, {
-			perSecond, knownAt: now, seenPerSecond: perSecond, seenAt: now, toldAt,
+			perSecond, knownAt: now, observedPerSecond: perSecond, observedAt: now, lastReportedAt,
 		});
 		this.#log(upstreamId, perSecond, undefined);
 		this.#parts.onAdded(upstreamId);
 	}
 
-	#noteSeen(upstreamId: string, known: RateLimitEntry, perSecond: number | undefined, startedAt: number): void {
+	#recordObserved(upstreamId: string, known: RateLimitEntry, perSecond: number | undefined, startedAt: number): void {
 		// The response to a request that was sent before the limit was known may have been created before the upstream set the limit.
 		if (perSecond === undefined && startedAt < known.knownAt) {
 			return;
 		}
 
-		known.seenPerSecond = perSecond;
-		known.seenAt = this.#parts.clock.now();
-		known.toldAt = undefined;
+		known.observedPerSecond = perSecond;
+		known.observedAt = this.#parts.clock.now();
+		known.lastReportedAt = undefined;
 		if (perSecond !== known.perSecond) {
 			this.#parts.onReportDue();
 		}
@@ -137,15 +137,15 @@
 		}
 	}
 
-	#takeListed(upstreamId: string, perSecond: number, reportedAt: number): void {
+	#applyListed(upstreamId: string, perSecond: number, reportedAt: number): void {
 		const known = this.#known.get(upstreamId);
 		if (!known) {
 			this.#add(upstreamId, perSecond, reportedAt);
 			return;
 		}
 
-		const isUntold = known.toldAt === undefined || known.toldAt > reportedAt;
-		this.#set(upstreamId, known, isUntold ? Math.min(perSecond, known.perSecond) : perSecond);
+		const isUnreported = known.lastReportedAt === undefined || known.lastReportedAt > reportedAt;
+		this.#set(upstreamId, known, isUnreported ? Math.min(perSecond, known.perSecond) : perSecond);
 	}
 
 	#set(upstreamId: string, known: RateLimitEntry, perSecond: number): void {
@@ -156,9 +156,9 @@
 	}
 
 	#end(listed: ReadonlySet<string>, reportedAt: number): void {
-		for (const [upstreamId, {perSecond, toldAt}] of this.#known) {
-			const isToldOf = toldAt !== undefined && toldAt <= reportedAt;
-			if (!listed.has(upstreamId) && isToldOf) {
+		for (const [upstreamId, {perSecond, lastReportedAt}] of this.#known) {
+			const isReported = lastReportedAt !== undefined && lastReportedAt <= reportedAt;
+			if (!listed.has(upstreamId) && isReported) {
 				this.#known.delete(upstreamId);
 				this.#log(upstreamId, undefined, perSecond);
 			}
--- a/apps/valelead-daemon/src/gateway/request-quarantine.ts
+++ b/apps/valelead-daemon/src/gateway/request-quarantine.ts
@@ -93,7 +93,7 @@
 	/** Fingerprints of the requests that a leader has quarantined. */
 	#committed: ReadonlySet<string> = new Set();
 	/** Fingerprints of the requests that only this gateway has quarantined, and when it did so, in monotonic milliseconds. */
-	readonly #own = new Map<string, number>();
+	readonly #ownDecisions = new Map<string, number>();
 	/** A leader has received the crashes that were recorded before this time, in monotonic milliseconds. */
 	#reportedUntil = Number.NEGATIVE_INFINITY;
 	/** The version of the leader's list that is applied; 0 before the first list of a session. */
@@ -219,11 +219,11 @@
 		}
 
 		this.#reportedUntil = Math.max(this.#reportedUntil, reportedAt);
-		for (const [fingerprint, judgedAt] of this.#own) {
+		for (const [fingerprint, judgedAt] of this.#ownDecisions) {
 			if (this.#committed.has(fingerprint)) {
-				this.#own.delete(fingerprint);
+				this.#ownDecisions.delete(fingerprint);
 			} else if (judgedAt < reportedAt) {
-				this.#dropOwn(fingerprint);
+				this.#revokeOwnDecision(fingerprint);
 			}
 		}
 	}
@@ -269,7 +269,7 @@
 
 		const quarantined = mutateQuarantined(this.#ledger, fingerprints, fingerprint => this.#getOwnBlame(fingerprint));
 		for (const fingerprint of quarantined) {
-			this.#own.set(fingerprint, this.#parts.clock.now());
+			this.#ownDecisions.set(fingerprint, this.#parts.clock.now());
 			this.#quarantine(fingerprint, QUARANTINE_MS, 'own');
 		}
 
@@ -289,8 +289,8 @@
 		return getPartialBlame(this.#ledger, fingerprint, runId => !isSuspected && isReported(runId));
 	}
 
-	#dropOwn(fingerprint: string): void {
-		this.#own.delete(fingerprint);
+	#revokeOwnDecision(fingerprint: string): void {
+		this.#ownDecisions.delete(fingerprint);
 		this.#ledger.quarantined.delete(fingerprint);
 		if (this.#until.delete(fingerprint)) {
 			this.#parts.logger.info({event: 'request-released', fingerprint, source: 'leader'}, 'the leader did not confirm the quarantine decision of this gateway');
@@ -327,7 +327,7 @@
 		for (const [fingerprint, until] of this.#until) {
 			if (now >= until) {
 				this.#until.delete(fingerprint);
-				this.#own.delete(fingerprint);
+				this.#ownDecisions.delete(fingerprint);
 				mutateReleased(this.#ledger, fingerprint, true);
 			}
 		}
--- a/apps/valelead-daemon/src/gateway/upstream-limits.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-limits.ts
@@ -140,12 +140,12 @@
 		const now = this.#now;
 		const subjects = new Set([...this.#known.upstreamIds, ...this.#stock.current.subjects.keys()]);
 		const usages = [...subjects].flatMap(upstreamId => this.#newUsage(upstreamId, now) ?? []);
-		return {sightings: this.#known.takeSightings(sentAt), usages};
+		return {sightings: this.#known.takeUnreported(sentAt), usages};
 	}
 
 	/** Applies limits and loans. Loans requested before a suspension of this process are ignored, as the length of the suspension is unknown. */
 	take({limits, grant, reportedAt}: Parameters<LimitExchange['take']>[0]): void {
-		if (limits && this.#known.takeList(limits, reportedAt)) {
+		if (limits && this.#known.applyList(limits, reportedAt)) {
 			this.#nextRequestAt.clear();
 			this.#known.markAllUnreported();
 			this.#parts.onNeed();
