--- a/apps/valelead-daemon/tests/upstream-attempt.feature
+++ b/apps/valelead-daemon/tests/upstream-attempt.feature
@@ -23,7 +23,7 @@
     When nobody listens at the upstream's address
     Then the sending ends as "3008 not_run"
 
-  # Guards against a request that reaches its upstream after the caller has disconnected: a connection that is closed still delivers the data sent before.
+  # Guards against a request that reaches its upstream after the caller has disconnected: a closed connection still delivers the data sent before.
   Scenario Outline: The connection of an attempt that is given up is reset
     When an attempt is <ended> before its upstream answers
     Then the upstream sees its connection reset
