--- a/apps/valelead-daemon/src/gateway/caller.ts
+++ b/apps/valelead-daemon/src/gateway/caller.ts
@@ -2,7 +2,7 @@
 
 /** The sender of a request, as identified by its API key. */
 export type Caller = {
-	/** Undefined if the routing defines no teams, or if the route is open and the request has no known key. */
+	/** Undefined if the routing defines no teams, or if the route is open and no team was identified. */
 	readonly team: Team | undefined;
 	/** Priority of the request; 0 is the most urgent. */
 	readonly rank: number;
