--- a/apps/valelead-daemon/src/gateway/answer-start.ts
+++ /dev/null
@@ -1,4 +0,0 @@
-import type {IncomingMessage} from 'node:http';
-
-/** The status and headers of an upstream's answer. */
-export type AnswerStart = Pick<IncomingMessage, 'statusCode' | 'headers' | 'rawHeaders'>;
--- a/apps/valelead-daemon/src/gateway/end-recorder.ts
+++ b/apps/valelead-daemon/src/gateway/completion-recorder.ts
@@ -8,9 +8,9 @@
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
-	/** Time since the leader was heard, in milliseconds. */
+	/** Returns the time since the last message of the leader, in milliseconds. */
 	readonly getRoutingAgeMs: () => number;
-	/** Undefined until the gateway is told to stop. */
+	/** Returns the grace period of the shutdown, or undefined before the stop signal. */
 	readonly getGrace: () => GracePeriod | undefined;
 };
 
@@ -22,8 +22,8 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Records how requests ended, in metrics by team and class and in one line of the log each. */
-export class EndRecorder {
+/** Records the end of each request in the metrics, by team and class, and in one log line. */
+export class CompletionRecorder {
 	readonly #parts: RecorderParts;
 
 	constructor(parts: RecorderParts) {
@@ -36,14 +36,14 @@
 		this.#log(request, {code, outcome, reason}, now);
 	}
 
-	/** A request is broken off at the end of the grace period. */
-	recordCut({arrivedAt}: GatewayRequest): void {
+	/** Counts a request that is aborted at the end of the grace period. */
+	recordAborted({arrivedAt}: GatewayRequest): void {
 		const grace = this.#parts.getGrace();
 		const isLate = grace !== undefined && arrivedAt >= grace.startedAt;
 		this.#parts.metrics.stopCuts.inc({arrived: isLate ? 'after' : 'before'});
 	}
 
-	#measure({caller, route, arrivedAt, dispatchedAt, firstPartAt}: GatewayRequest, code: ResultCodeValue, now: number): void {
+	#measure({caller, route, arrivedAt, dispatchedAt, firstChunkAt}: GatewayRequest, code: ResultCodeValue, now: number): void {
 		const {metrics} = this.#parts;
 		const labels = {team: metrics.getTeamLabel(caller.team?.name ?? ''), class: route.name};
 		metrics.results.inc({...labels, code});
@@ -53,13 +53,13 @@
 			metrics.usedQuota.inc({team: labels.team}, caller.cost);
 		}
 
-		if (firstPartAt !== undefined) {
-			metrics.firstToken.observe(labels, (firstPartAt - arrivedAt) / MS_PER_SECOND);
+		if (firstChunkAt !== undefined) {
+			metrics.firstToken.observe(labels, (firstChunkAt - arrivedAt) / MS_PER_SECOND);
 		}
 	}
 
 	#log(request: GatewayRequest, end: {readonly code: ResultCodeValue; readonly outcome: OutcomeValue; readonly reason: string}, now: number): void {
-		const {caller, route, head, arrivedAt, dispatchedAt, firstPartAt} = request;
+		const {caller, route, head, arrivedAt, dispatchedAt, firstChunkAt} = request;
 		this.#parts.logger.info({
 			event: 'request-ended',
 			requestId: head.id,
@@ -74,7 +74,7 @@
 			attempts: request.attempts,
 			...end,
 			waitedMs: Math.round((dispatchedAt ?? now) - arrivedAt),
-			firstPartMs: firstPartAt === undefined ? undefined : Math.round(firstPartAt - arrivedAt),
+			firstPartMs: firstChunkAt === undefined ? undefined : Math.round(firstChunkAt - arrivedAt),
 			longestPauseMs: Math.round(request.longestPauseMs),
 			tookMs: Math.round(now - arrivedAt),
 			answerFraming: request.answerFraming,
@@ -85,7 +85,10 @@
 		}, 'request ended');
 	}
 
-	/** How long after the stop signal a request came, and what was left of the grace period, beyond its own deadline and when it was sent. */
+	/**
+	 * Returns the log fields of a shutdown, in milliseconds: the time from the stop signal to the arrival of the request, from its deadline to the end
+	 * of the grace period, and from its dispatch to the end of the grace period. Empty before the stop signal.
+	 */
 	#getStopFields({arrivedAt, deadlineAt, dispatchedAt}: GatewayRequest): StopFields {
 		const grace = this.#parts.getGrace();
 		if (!grace) {
