--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -2,7 +2,7 @@
 import {getLane} from './get-lane.js';
 import {mutateAnswered} from './mutate-answered.js';
 import {mutateArrival} from './mutate-arrival.js';
-import {mutateDarkLanes} from './mutate-dark-lanes.js';
+import {mutateUnresponsiveLanes} from './mutate-unresponsive-lanes.js';
 import {mutateDeadlines} from './mutate-deadlines.js';
 import {mutateDispatches} from './mutate-dispatches.js';
 import {mutateEnd} from './mutate-end.js';
@@ -126,7 +126,7 @@
 		}
 
 		case 'tick': {
-			mutateDarkLanes(state, settings, now);
+			mutateUnresponsiveLanes(state, settings, now);
 			return [];
 		}
 
