--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -9,7 +9,7 @@
 import {mutateRefused} from './mutate-refused.js';
 import {mutateFailure} from './mutate-failure.js';
 import {mutateRequest} from './mutate-request.js';
-import {mutateTurnedAway} from './mutate-turned-away.js';
+import {mutateStopRefusals} from './mutate-stop-refusals.js';
 import {newWants} from './new-wants.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionEvent} from './admission-event.js';
@@ -139,6 +139,6 @@
 /** Advances an entry's admission by one event at its monotonic time in milliseconds, and returns what must be done. */
 export const mutateAdmission = (state: AdmissionState, settings: AdmissionSettings, event: AdmissionEvent, now: number): AdmissionEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
-	effects.push(...mutateDeadlines(state, settings, now), ...mutateTurnedAway(state), ...mutateDispatches(state, settings, now), ...newWants(state, now));
+	effects.push(...mutateDeadlines(state, settings, now), ...mutateStopRefusals(state), ...mutateDispatches(state, settings, now), ...newWants(state, now));
 	return effects;
 };
--- a/packages/admission/src/mutate-turned-away.ts
+++ b/packages/admission/src/mutate-stop-refusals.ts
@@ -11,7 +11,7 @@
 const isCutAtEnd = ({state, runs, ticket}: RequestRecord, endsAt: number): boolean => state === 'waiting' && runs === 0 && ticket.deadlineAt > endsAt;
 
 /** Refuses waiting requests that might be cut off with an entry that stops, while their callers can go elsewhere. */
-export const mutateTurnedAway = (state: AdmissionState): AdmissionEffect[] => {
+export const mutateStopRefusals = (state: AdmissionState): AdmissionEffect[] => {
 	const {endsAt} = state;
 	if (endsAt === undefined) {
 		return [];
