--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -1,6 +1,6 @@
 import {assertNever, OUTCOME} from '@valelead/common';
 import {getLane} from './get-lane.js';
-import {mutateAnswered} from './mutate-answered.js';
+import {mutateLaneAnswered} from './mutate-lane-answered.js';
 import {mutateArrival} from './mutate-arrival.js';
 import {mutateUnresponsiveLanes} from './mutate-unresponsive-lanes.js';
 import {mutateDeadlines} from './mutate-deadlines.js';
@@ -26,7 +26,7 @@
 const mutateStarted = (state: AdmissionState, requestId: string, attemptId: string, now: number): void => {
 	const record = getCurrent(state, requestId, attemptId);
 	if (record?.state === 'sent') {
-		mutateAnswered(getLane(state, record.vm), now);
+		mutateLaneAnswered(getLane(state, record.vm), now);
 		mutateRequest(record, 'start');
 	}
 };
@@ -40,7 +40,7 @@
 	const lane = getLane(state, record.vm);
 	lane.failures = 0;
 	lane.ejections = 0;
-	mutateAnswered(lane, now);
+	mutateLaneAnswered(lane, now);
 	if (record.state === 'sent') {
 		mutateRequest(record, 'start');
 	}
--- a/packages/admission/src/mutate-failure.ts
+++ b/packages/admission/src/mutate-failure.ts
@@ -4,7 +4,7 @@
 import {getRetryBudget} from './get-retry-budget.js';
 import {mutateRetryTokens} from './mutate-retry-tokens.js';
 import {getLane} from './get-lane.js';
-import {mutateAnswered} from './mutate-answered.js';
+import {mutateLaneAnswered} from './mutate-lane-answered.js';
 import {mutateLaneFailure} from './mutate-lane-failure.js';
 import {mutateRefused} from './mutate-refused.js';
 import {mutateReleased} from './mutate-released.js';
@@ -73,7 +73,7 @@
 	const isGate = GATE_CODES.has(failure.code);
 	const lane = getLane(state, record.vm);
 	if (!UNANSWERED_CODES.has(failure.code)) {
-		mutateAnswered(lane, now);
+		mutateLaneAnswered(lane, now);
 	}
 
 	if (isGate) {
