--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -5,7 +5,7 @@
 import {mutateUnresponsiveLanes} from './mutate-unresponsive-lanes.js';
 import {mutateDeadlines} from './mutate-deadlines.js';
 import {mutateDispatches} from './mutate-dispatches.js';
-import {mutateEnd} from './mutate-end.js';
+import {mutateRequestEnd} from './mutate-request-end.js';
 import {mutateRefused} from './mutate-refused.js';
 import {mutateFailure} from './mutate-failure.js';
 import {mutateRequest} from './mutate-request.js';
@@ -45,7 +45,7 @@
 		mutateRequest(record, 'start');
 	}
 
-	mutateEnd(state, record, 'finish');
+	mutateRequestEnd(state, record, 'finish');
 };
 
 const mutateAbandoned = (state: AdmissionState, requestId: string): AdmissionEffect[] => {
@@ -55,7 +55,7 @@
 	}
 
 	const isSent = record.state !== 'waiting';
-	mutateEnd(state, record, 'abandon');
+	mutateRequestEnd(state, record, 'abandon');
 	return isSent
 		? [{
 			kind: 'cancel', requestId, attemptId: record.attemptId, vm: record.vm,
--- a/packages/admission/src/mutate-refused.ts
+++ b/packages/admission/src/mutate-refused.ts
@@ -1,6 +1,6 @@
 import {OUTCOME, type OutcomeValue, type ResultCodeValue} from '@valelead/common';
 import {getRetryAfterMs} from './get-retry-after-ms.js';
-import {mutateEnd} from './mutate-end.js';
+import {mutateRequestEnd} from './mutate-request-end.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
@@ -28,6 +28,6 @@
 	effects.push({
 		kind: 'refuse', requestId, code, outcome: honest, retryAfterMs,
 	});
-	mutateEnd(state, record, 'refuse');
+	mutateRequestEnd(state, record, 'refuse');
 	return effects;
 };
--- a/packages/admission/src/mutate-end.ts
+++ b/packages/admission/src/mutate-request-end.ts
@@ -4,7 +4,7 @@
 import type {RequestRecord} from './request-record.js';
 
 /** Ends a request. Whatever arrives for it later finds no record and is dropped. */
-export const mutateEnd = (state: AdmissionState, record: RequestRecord, event: string): void => {
+export const mutateRequestEnd = (state: AdmissionState, record: RequestRecord, event: string): void => {
 	mutateReleased(state, record);
 	mutateRequest(record, event);
 	state.requests.delete(record.ticket.requestId);
