--- a/apps/valelead-daemon/tests/answer-ends.feature
+++ b/apps/valelead-daemon/tests/answer-ends.feature
@@ -1,13 +1,13 @@
-Feature: Where the answer of an upstream ends
-  An answer that was broken off never looks whole, however its end is known.
+Feature: Detection of truncated responses
+  A truncated response is never accepted as complete, however its body is delimited.
 
-  # Guards against an answer that its upstream broke off and that its caller takes for whole.
-  Scenario Outline: An upstream's answer that is <answer> ends as <end>
-    When an upstream sends an answer that is "<answer>"
-    Then the answer ends as "<end>"
+  # Guards against a response that the upstream did not finish and that the caller accepts as complete.
+  Scenario Outline: An upstream's response that is <response> ends as <end>
+    When an upstream sends a response that is "<response>"
+    Then the response ends as "<end>"
 
     Examples:
-      | answer                                               | end   |
+      | response                                             | end   |
       | unframed, reset right after its head                 | cut   |
       | unframed, closed in order                            | whole |
       | unframed and empty, closed in order                  | whole |
@@ -43,31 +43,31 @@
       | unframed, one full buffer, closed in order           | whole |
       | unframed, one full buffer, reset                     | cut   |
 
-  # Guards against an upstream that crashed and is not looked at, and against one that is looked at though its connection lives.
-  Scenario Outline: An upstream's answer that is <answer> leaves its connection <connection>
-    When an upstream sends an answer that is "<answer>"
-    Then the answer ends as "cut" and its connection is "<connection>"
+  # Guards against a crash of an upstream that goes unnoticed, and against suspecting a crash while the connection is intact.
+  Scenario Outline: An upstream's response that is <response> leaves its connection <connection>
+    When an upstream sends a response that is "<response>"
+    Then the response ends as "cut" and its connection is "<connection>"
 
     Examples:
-      | answer                                              | connection |
+      | response                                            | connection |
       | a stream, unframed, closed inside an event          | broken     |
       | a stream, unframed, reset right after its head      | broken     |
       | a stream, in chunks, cut in the last chunk          | broken     |
       | a stream, in chunks, ended inside an event          | intact     |
       | a stream, with a length, ended inside an event      | intact     |
 
-  # Guards against a place or a way of breaking off that nobody thought of.
-  Scenario: A random stream that is broken off at any byte is never taken for whole
-    When random streams are sent in each framing, broken off at each byte and in each way
-    Then only those are taken for whole that ended outside an event in a complete framing, or with their connection after an event
+  # Guards against positions and kinds of truncation that the examples above do not cover.
+  Scenario: A random stream that is truncated at any byte is never accepted as complete
+    When random streams are sent in each framing, truncated at each byte and in each way
+    Then only streams that ended outside an event in a complete framing, or with their connection after an event, are accepted as complete
 
-  # Guards against an answer that an agent takes for whole and its gateway would not.
-  Scenario Outline: The answer to an agent's request that is <answer> ends as <end>
-    When an agent's upstream sends an answer that is "<answer>"
-    Then the answer ends as "<end>"
+  # Guards against an agent that accepts a response as complete although its gateway would not.
+  Scenario Outline: The response to an agent's request that is <response> ends as <end>
+    When an agent's upstream sends a response that is "<response>"
+    Then the response ends as "<end>"
 
     Examples:
-      | answer                                         | end   |
+      | response                                       | end   |
       | unframed, reset right after its head           | cut   |
       | unframed, reset with its last bytes            | cut   |
       | unframed, closed in order                      | whole |
@@ -77,13 +77,13 @@
       | a stream, in chunks, ended inside an event     | cut   |
       | a stream, in chunks, ended between events      | whole |
 
-  # Guards against the state of an engine that is decoded from a part of what it said.
-  Scenario Outline: A sidecar takes no status from an answer that is <answer>
-    When an engine tells its status in an answer that is "<answer>"
-    Then the sidecar takes none
+  # Guards against decoding an engine's status from a truncated response.
+  Scenario Outline: A sidecar rejects a status in a response that is <response>
+    When an engine sends its status in a response that is "<response>"
+    Then the sidecar rejects the status
 
     Examples:
-      | answer                               |
+      | response                             |
       | unframed, reset with its last bytes  |
       | unframed, closed in the middle       |
       | unframed, reset right after its head |
--- a/apps/valelead-daemon/tests/answer-ends.steps.ts
+++ b/apps/valelead-daemon/tests/answer-ends.steps.ts
@@ -12,9 +12,9 @@
 
 type EndsWorld = {
 	end: string;
-	/** What became of the connection of an answer that was cut. */
+	/** The state of the connection after a truncated response. */
 	connection: string | undefined;
-	/** Answers that were taken for another end than theirs. */
+	/** Descriptions of the responses whose end was not classified as expected. */
 	mistaken: string[];
 };
 
@@ -27,7 +27,7 @@
 const PART = 'id: 2\ndata';
 const LAST_CHUNK = '0\r\n\r\n';
 
-/** What Node reads from a connection at once, in bytes. */
+/** The most that Node reads from a connection at once, in bytes. */
 const READ_BYTES = 65_536;
 
 const newChunk = (text: string): string => `${text.length.toString(16)}\r\n${text}\r\n`;
@@ -72,7 +72,7 @@
 	'without a body, as its status says': {bytes: 'HTTP/1.1 204 No Content\r\nid: 1\r\n\r\n', end: 'close'},
 };
 
-/** Reads JSON, as codecs do. */
+/** A codec that decodes a status from JSON, as the codecs of engines do. */
 const STATUS_CODEC = {
 	newStatusCall: () => ({
 		method: 'GET', path: '/', headers: {}, body: '',
@@ -83,14 +83,14 @@
 
 const CALL_TIMEOUT_MS = 1000;
 
-/** The result code of an answer that was broken off. */
+/** The result code and the outcome of a truncated response. */
 const CUT = '3005 unknown';
 
-/** Random streams, each of which is broken off in some hundred places. */
+/** Number of random streams. Each of them is truncated at some hundred positions. */
 const STREAMS = 8;
 const SEED = 55;
 
-/** Connections that are open at once. */
+/** Number of connections that are open at once. */
 const PARALLEL = 16;
 
 const BROKEN_ENDS = ['late close', 'reset'] as const;
@@ -105,7 +105,7 @@
 
 type RandomStream = {
 	readonly bytes: Buffer;
-	/** The lengths at which the stream is outside an event, and whether one has ended before. */
+	/** The lengths at which the stream is outside an event; the value is true if an event has ended before. */
 	readonly outside: ReadonlyMap<number, boolean>;
 };
 
@@ -123,7 +123,7 @@
 	const outside = new Map([[0, false], [Buffer.byteLength(text), false]]);
 	const noteOutside = (hasEvents: boolean): void => {
 		outside.set(Buffer.byteLength(text), hasEvents);
-		// A return ends its line, whether or not a line feed belongs to it.
+		// A carriage return ends its line, whether or not a line feed follows.
 		if (lineEnd === '\r\n') {
 			outside.set(Buffer.byteLength(text) - 1, hasEvents);
 		}
@@ -159,7 +159,7 @@
 	}
 };
 
-/** All places and ways to break a stream off, and its whole self. */
+/** Returns the stream truncated at each position and in each way, and the complete stream. */
 const newCuts = ({bytes, outside}: RandomStream): Cut[] => {
 	const cuts: Cut[] = [];
 	for (const framing of ['connection', 'chunks', 'length'] as const) {
@@ -199,21 +199,21 @@
 	return end;
 };
 
-When('an upstream sends an answer that is {string}', async function (this: EndsWorld, name: string) {
+When('an upstream sends a response that is {string}', async function (this: EndsWorld, name: string) {
 	const {end, connection} = await send(ANSWERS[name]);
 	this.end = end;
 	this.connection = connection;
 });
 
-Then('the answer ends as {string}', function (this: EndsWorld, end: string) {
+Then('the response ends as {string}', function (this: EndsWorld, end: string) {
 	assert.equal(this.end, end === 'whole' ? 'whole' : CUT);
 });
 
-Then('the answer ends as "cut" and its connection is {string}', function (this: EndsWorld, connection: string) {
+Then('the response ends as "cut" and its connection is {string}', function (this: EndsWorld, connection: string) {
 	assert.deepEqual([this.end, this.connection], [CUT, connection]);
 });
 
-When('random streams are sent in each framing, broken off at each byte and in each way', {timeout: 60_000}, async function (this: EndsWorld) {
+When('random streams are sent in each framing, truncated at each byte and in each way', {timeout: 60_000}, async function (this: EndsWorld) {
 	const cuts = fc.sample(RANDOM_STREAM, {numRuns: STREAMS, seed: SEED}).flatMap(stream => newCuts(newStream(stream)));
 	this.mistaken = [];
 	const sendNext = async (): Promise<void> => {
@@ -228,7 +228,7 @@
 	await Promise.all(Array.from({length: PARALLEL}, sendNext));
 });
 
-Then('only those are taken for whole that ended outside an event in a complete framing, or with their connection after an event', function (this: EndsWorld) {
+Then('only streams that ended outside an event in a complete framing, or with their connection after an event, are accepted as complete', function (this: EndsWorld) {
 	assert.equal(this.mistaken.length, 0, `${this.mistaken.length}: ${this.mistaken.slice(0, 5).join('\n')}`);
 });
 
@@ -241,7 +241,7 @@
 	}
 };
 
-When('an agent\'s upstream sends an answer that is {string}', async function (this: EndsWorld, name: string) {
+When('an agent\'s upstream sends a response that is {string}', async function (this: EndsWorld, name: string) {
 	this.end = await withSource(name, async port => {
 		const {body} = await new HttpUpstream('127.0.0.1', port, CALL_TIMEOUT_MS).send({
 			requestId: '1', attemptId: '1.1', team: 't', priority: 0, method: 'POST', path: '/', contentType: '', body: Buffer.from('x'), remainingMs: CALL_TIMEOUT_MS,
@@ -259,7 +259,7 @@
 	});
 });
 
-When('an engine tells its status in an answer that is {string}', async function (this: EndsWorld, name: string) {
+When('an engine sends its status in a response that is {string}', async function (this: EndsWorld, name: string) {
 	this.end = await withSource(name, async port => {
 		const client = new EngineClient(`127.0.0.1:${port}`, STATUS_CODEC);
 		try {
@@ -273,6 +273,6 @@
 	});
 });
 
-Then('the sidecar takes none', function (this: EndsWorld) {
+Then('the sidecar rejects the status', function (this: EndsWorld) {
 	assert.equal(this.end, 'refused');
 });
--- a/apps/valelead-daemon/tests/answer-source.ts
+++ b/apps/valelead-daemon/tests/answer-source.ts
@@ -4,20 +4,20 @@
 	type AddressInfo, type Socket, createServer,
 } from 'node:net';
 
-/** How an upstream ends the connection after its bytes. */
+/** How an upstream ends the connection after it has sent its bytes. */
 type ConnectionEnd = 'keep' | 'close' | 'reset' | 'late close' | 'late reset';
 
 type SourceAnswer = {
 	readonly bytes: Uint8Array | string;
-	/** Sent some time after the others, with the end. */
+	/** Bytes that are sent `LATE_MS` after the first ones, directly before the connection ends. */
 	readonly laterBytes?: string;
 	readonly end: ConnectionEnd;
 };
 
-/** For bytes to be read before the connection ends, in milliseconds. */
+/** Delay of a late end, in milliseconds, so that the receiver reads the bytes before the connection ends. */
 const LATE_MS = 20;
 
-/** An upstream that answers each connection with the same bytes and the same end. */
+/** A test upstream that answers each connection with the same bytes and then ends it in the same way. */
 export class AnswerSource {
 	readonly #server = createServer(socket => {
 		this.#sockets.add(socket);
--- a/apps/valelead-daemon/tests/is-hopeless.steps.ts
+++ b/apps/valelead-daemon/tests/is-hopeless.steps.ts
@@ -29,7 +29,7 @@
 
 const decide = (world: HopelessWorld, timeMs: number, waitedMs: number, forecastMs: number): boolean => isHopeless(getDemand(world, timeMs), forecastMs, ARRIVED_AT + waitedMs);
 
-Given('a route with an objective of {int} ms whose callers leave after {int} ms, and {int} ms of time', function (this: HopelessWorld, objectiveMs: number, patienceMs: number, timeMs: number) {
+Given('a route with an objective of {int} ms whose callers leave after {int} ms, and a timeout of {int} ms', function (this: HopelessWorld, objectiveMs: number, patienceMs: number, timeMs: number) {
 	this.objectiveMs = objectiveMs;
 	this.patienceMs = patienceMs;
 	this.timeMs = timeMs;
@@ -39,7 +39,7 @@
 	this.isGivenUp = decide(this, this.timeMs, waitedMs, forecastMs);
 });
 
-When('a request with {int} ms of time has waited for {int} ms and its model is expected in {int} ms', function (this: HopelessWorld, timeMs: number, waitedMs: number, forecastMs: number) {
+When('a request with a timeout of {int} ms has waited for {int} ms and its model is expected in {int} ms', function (this: HopelessWorld, timeMs: number, waitedMs: number, forecastMs: number) {
 	this.isGivenUp = decide(this, timeMs, waitedMs, forecastMs);
 });
 
@@ -47,13 +47,13 @@
 	assert.equal(this.isGivenUp, decision === 'given up');
 });
 
-When('a refused caller is told to come back in {int} ms', function (this: HopelessWorld, returnMs: number) {
+When('a refused caller is given a Retry-After time of {int} ms', function (this: HopelessWorld, returnMs: number) {
 	this.demand = getDemand(this, this.timeMs);
 	this.returns = new ExpectedReturns();
 	this.returns.add(this.demand, ARRIVED_AT + returnMs);
 });
 
-Then('its model is still needed after {int} ms, for a caller that leaves {int} ms after it was to come back', function (this: HopelessWorld, afterMs: number, leavesMs: number) {
+Then('its model is still needed after {int} ms, for a caller that leaves {int} ms after its retry is due', function (this: HopelessWorld, afterMs: number, leavesMs: number) {
 	const [demand] = this.returns.getDemands(ARRIVED_AT + afterMs);
 	assert.equal(demand.target, this.demand.target);
 	assert.equal(demand.dueAt, this.demand.dueAt);
--- a/packages/answer/src/answer-defect-value.ts
+++ b/packages/answer/src/answer-defect-value.ts
@@ -1,4 +1,4 @@
 import type {ANSWER_DEFECT} from './answer-defect.js';
 
-/** One of the reasons why an answer is not whole. */
+/** A reason why a response is incomplete; one of the values of `ANSWER_DEFECT`. */
 export type AnswerDefectValue = (typeof ANSWER_DEFECT)[keyof typeof ANSWER_DEFECT];
--- a/packages/answer/src/answer-defect.ts
+++ b/packages/answer/src/answer-defect.ts
@@ -1,11 +1,11 @@
-/** Why an answer that has ended is not whole. */
+/** The reasons why an upstream's HTTP response that has ended is incomplete, as texts for logs. */
 export const ANSWER_DEFECT = {
-	/** Its length was not reached, or its last chunk did not come. */
+	/** The body is shorter than its `Content-Length`, or its last chunk is missing. */
 	Incomplete: 'the answer ended before it was complete',
-	/** Only the end of its connection could tell, and that was perhaps a reset. */
+	/** The body is delimited only by the end of the connection, and the connection may have been reset. */
 	Reset: 'the connection of an answer without length and chunks was reset',
-	/** An event stream ended inside an event. */
+	/** The body is an event stream that ended inside an event. */
 	InsideEvent: 'the stream ended inside an event',
-	/** Only the end of its connection could tell, and no event had come. */
+	/** The body is an event stream that is delimited only by the end of the connection and that ended before its first event. */
 	NoEvent: 'the connection of a stream without length and chunks ended before the first event',
 } as const;
--- a/packages/answer/src/answer-framing-value.ts
+++ b/packages/answer/src/answer-framing-value.ts
@@ -1,4 +1,4 @@
 import type {ANSWER_FRAMING} from './answer-framing.js';
 
-/** One of the ways in which the end of an answer's body is known. */
+/** The way in which a response's body is delimited; one of the values of `ANSWER_FRAMING`. */
 export type AnswerFramingValue = (typeof ANSWER_FRAMING)[keyof typeof ANSWER_FRAMING];
--- a/packages/answer/src/answer-framing.ts
+++ b/packages/answer/src/answer-framing.ts
@@ -1,9 +1,11 @@
-/** How the end of an answer's body is known. */
+/** The ways in which the body of an HTTP response can be delimited (RFC 9112, section 6.3). */
 export const ANSWER_FRAMING = {
-	/** It has none, whatever its head says. */
+	/** The response has no body, whatever its headers say. */
 	Bodyless: 'bodyless',
+	/** The `Content-Length` header gives the length of the body. */
 	Length: 'length',
+	/** The body is sent in the chunked transfer coding. */
 	Chunks: 'chunks',
-	/** By the end of the connection alone. */
+	/** The body ends where the connection ends. */
 	Connection: 'connection',
 } as const;
--- a/packages/answer/src/event-scanner.ts
+++ b/packages/answer/src/event-scanner.ts
@@ -4,39 +4,42 @@
 const CARRIAGE_RETURN = 0x0D;
 const COLON = 0x3A;
 
-/** The byte order mark that a stream may begin with, in UTF-8. */
+/** The UTF-8 byte order mark, which may precede the first line of a stream. */
 const BYTE_ORDER_MARK = [0xEF, 0xBB, 0xBF];
 
 /**
- * Follows the lines of an event stream (WHATWG HTML, server-sent events). Lines end with LF, CRLF or CR; an event ends with a blank line,
- * and a line that begins with a colon is a comment.
+ * Finds the ends of events in a stream of server-sent events (WHATWG HTML) that is read in chunks. Lines end with LF, CRLF or CR; a blank
+ * line ends an event, and a line that begins with a colon is a comment.
  */
 export class EventScanner {
-	/** Bytes of the present line. */
+	/** Number of bytes read of the current line. */
 	#lineLength = 0;
 	#isComment = false;
-	/** Whether a line of an event has come that has not ended. */
+	/** True if a line of an event has been read, but not yet the blank line that ends the event. */
 	#isInEvent = false;
 	#hasEvents = false;
-	/** Whether the last byte was a carriage return, to which a line feed may belong. */
+	/** True if the last byte was a carriage return; a line feed that follows it belongs to the same line end. */
 	#isAfterReturn = false;
-	/** Whether the last line that ended was blank. */
+	/** True if the last complete line was blank. */
 	#isAfterBlank = false;
-	/** Bytes since the beginning, as long as they may be the mark; undefined after that. */
+	/** Number of bytes read of a possible byte order mark; undefined once the stream is known to be past it or to have none. */
 	#markLength: number | undefined = 0;
 
-	/** Whether an event has ended. */
+	/** True if the stream contains at least one complete event so far. */
 	get hasEvents(): boolean {
 		return this.#hasEvents;
 	}
 
-	/** Whether the stream may end here: after an event or a comment, or before the first one. */
+	/** True if the stream could end here without truncating anything: after a complete event or comment, or before the first one. */
 	get isOutsideEvent(): boolean {
 		const isInMark = this.#markLength !== undefined && this.#markLength > 0;
 		return !this.#isInEvent && this.#lineLength === 0 && !isInMark;
 	}
 
-	/** @returns The place in the chunk after the last blank line that ends in it, or 0. Events and comments before it are whole. */
+	/**
+	 * Reads the next chunk of the stream.
+	 * @returns The offset in the chunk after the last blank line that ends in it, or 0 if none does. Events and comments before the offset are complete.
+	 */
 	take(chunk: Buffer): number {
 		let end = 0;
 		for (const [index, byte] of chunk.entries()) {
@@ -48,7 +51,7 @@
 		return end;
 	}
 
-	/** @returns Whether a blank line has ended with this byte. */
+	/** @returns True if this byte ends a blank line. */
 	#takeByte(byte: number): boolean {
 		if (this.#takeMark(byte)) {
 			return false;
@@ -57,7 +60,7 @@
 		const isSecondHalf = byte === LINE_FEED && this.#isAfterReturn;
 		this.#isAfterReturn = byte === CARRIAGE_RETURN;
 		if (isSecondHalf) {
-			// Callers may wait for it.
+			// A line feed after the carriage return of a blank line still belongs to the event, so that it is passed on with it.
 			return this.#isAfterBlank;
 		}
 
@@ -74,14 +77,14 @@
 		return false;
 	}
 
-	/** @returns Whether the byte belongs to a byte order mark. */
+	/** @returns True if the byte may belong to a byte order mark at the beginning of the stream. */
 	#takeMark(byte: number): boolean {
 		if (this.#markLength === undefined) {
 			return false;
 		}
 
 		if (byte !== BYTE_ORDER_MARK[this.#markLength]) {
-			// What looked like a mark is the beginning of the first line.
+			// The bytes that matched the beginning of a byte order mark belong to the first line.
 			this.#lineLength = this.#markLength;
 			this.#markLength = undefined;
 			return false;
@@ -92,7 +95,7 @@
 		return true;
 	}
 
-	/** @returns Whether the line was blank. */
+	/** @returns True if the line was blank. */
 	#endLine(): boolean {
 		const isBlank = this.#lineLength === 0;
 		this.#lineLength = 0;
--- a/packages/answer/src/event-splitter.ts
+++ b/packages/answer/src/event-splitter.ts
@@ -1,30 +1,34 @@
 import {Buffer} from 'node:buffer';
 import {EventScanner} from './event-scanner.js';
 
-/** What a chunk added: bytes up to the end of the last whole event, and that event's id. */
+/** The bytes up to the end of the last event that a chunk completed, and the id of the last event among them that has one. */
 type WholeEvents = {
 	readonly bytes: Buffer;
-	/** Undefined where no event with an id has come yet. */
+	/** Undefined if none of these events has an id. */
 	readonly lastEventId: string | undefined;
 };
 
-/** A byte order mark may stand before the first line. It is read as Latin-1 here. */
+/** Matches the line with an event's id. A byte order mark may precede the first line; decoded as Latin-1, it reads as three characters. */
 const ID_LINE = /^(?:\u00EF\u00BB\u00BF)?id: ?(?<id>.*)$/gmv;
 
 const BYTE_ORDER_MARK = Buffer.from('\uFEFF');
 
-/** Cuts a stream of events into whole ones, so that a broken stream can go on after the last of them. */
+/** Passes on only complete events of a stream, so that a stream that breaks can be resumed on another upstream after the last of them. */
 export class EventSplitter {
 	readonly #scanner = new EventScanner();
-	/** Whether a byte order mark may come that is not to be passed on. */
+	/** True if a byte order mark may still arrive that must be removed. */
 	#isMarkDue: boolean;
 	#rest: Buffer = Buffer.alloc(0);
 
-	/** @param isContinuation - Whether the events go on in a stream that has begun, in which a byte order mark would belong to a field's name. */
+	/**
+	 * @param isContinuation - True if the events resume a stream that the caller has begun to receive. A byte order mark is removed then, as in
+	 * the middle of the stream it would be read as part of a field name.
+	 */
 	constructor(isContinuation = false) {
 		this.#isMarkDue = isContinuation;
 	}
 
+	/** Adds the next chunk and returns the events that are complete with it. */
 	take(chunk: Buffer): WholeEvents {
 		const end = this.#scanner.take(chunk);
 		if (end === 0) {
@@ -38,7 +42,7 @@
 		return {bytes: whole, lastEventId: this.#getLastId(whole)};
 	}
 
-	/** Bytes after the last whole event. */
+	/** The bytes after the last complete event. */
 	get rest(): Buffer {
 		return this.#withoutMark(this.#rest);
 	}
--- a/packages/answer/src/get-answer-defect.ts
+++ b/packages/answer/src/get-answer-defect.ts
@@ -3,20 +3,20 @@
 import type {AnswerDefectValue} from './answer-defect-value.js';
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
-/** What is known of an answer when it has ended. */
+/** The facts about an ended response that decide whether it is complete. */
 type EndedAnswer = {
 	readonly framing: AnswerFramingValue;
-	/** Whether the end came that the framing asks for. */
+	/** True if the body reached the end that its framing prescribes. */
 	readonly isComplete: boolean;
-	/** Whether the connection ended in the same turn of the event loop as its last bytes came. */
+	/** True if the connection ended in the same event-loop iteration in which its last bytes arrived, as happens with a reset. */
 	readonly isEndWithBytes: boolean;
-	/** Where its events end; undefined where it is no event stream. */
+	/** The position in an event stream at which the response ended; undefined if it is not an event stream that can be scanned. */
 	readonly events: {readonly hasEvents: boolean; readonly isOutsideEvent: boolean} | undefined;
 };
 
 /**
- * Why an answer that has ended is not whole; undefined where it is. Nothing tells whether an answer without length and chunks, which is no
- * event stream and whose connection was closed in order, was whole: it is taken for it.
+ * Returns the reason why an ended response is incomplete, or undefined if it is complete. A response that is delimited only by the end of its
+ * connection, is not an event stream and whose connection closed without a reset is accepted as complete, as nothing shows otherwise.
  */
 export const getAnswerDefect = ({framing, isComplete, isEndWithBytes, events}: EndedAnswer): AnswerDefectValue | undefined => {
 	if (!isComplete) {
--- a/packages/answer/src/received-answer.ts
+++ b/packages/answer/src/received-answer.ts
@@ -8,25 +8,27 @@
 import type {AnswerDefectValue} from './answer-defect-value.js';
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
-/** The lines of a compressed stream cannot be seen. */
+/** Returns true if the body is an event stream whose lines can be read, that is, one without a content coding such as gzip. */
 const isPlainEventStream = (headers: IncomingHttpHeaders): boolean => isEventStream(headers['content-type'] ?? '')
 	&& (headers['content-encoding'] ?? 'identity').toLowerCase() === 'identity';
 
 /**
- * Watches how an upstream's answer ends. Made in the turn of the event loop in which its head came.
+ * Follows an upstream's response and determines whether it was complete when it ended. It must be created in the event-loop iteration in which
+ * the head of the response arrived.
  *
- * Node reports a reset that arrives together with bytes as an orderly end, in the same turn of the event loop; an orderly end comes in
- * a later turn. Where only the end of the connection ends the answer, the turn is all that tells the two apart.
+ * If a connection reset arrives together with data, Node reports it as a normal end in the same event-loop iteration as the data. A
+ * connection that was really closed is reported in a later iteration. For a response that is delimited only by the end of its connection,
+ * this is the only way to distinguish the two.
  */
 export class ReceivedAnswer {
 	readonly #message: IncomingMessage;
 	readonly #framing: AnswerFramingValue;
 	readonly #events: EventScanner | undefined;
-	/** Whether bytes came in the present turn of the event loop. */
+	/** True if bytes arrived in the current event-loop iteration. */
 	#isFresh = false;
 	#isEndWithBytes = false;
 
-	/** @param method - Of the request. */
+	/** @param method - The HTTP method of the request. */
 	constructor(message: IncomingMessage, method: string) {
 		const {statusCode, headers} = message;
 		this.#message = message;
@@ -37,17 +39,17 @@
 		}
 	}
 
-	/** Whether the connection has ended with the answer, whole or not. */
+	/** True if the connection has ended with the response, whether or not the response is complete. */
 	get isConnectionOver(): boolean {
 		return this.#framing === ANSWER_FRAMING.Connection || !this.#message.complete;
 	}
 
-	/** Takes the next bytes of the body. */
+	/** Reads the next bytes of the body. */
 	take(chunk: Buffer): void {
 		this.#events?.take(chunk);
 	}
 
-	/** Why the answer, all of whose bytes were taken, is not whole; undefined where it is. */
+	/** Returns the reason why the response is incomplete, or undefined if it is complete. It must be called after all bytes were read. */
 	getDefect(): AnswerDefectValue | undefined {
 		return getAnswerDefect({
 			framing: this.#framing, isComplete: this.#message.complete, isEndWithBytes: this.#isEndWithBytes, events: this.#events,
@@ -60,7 +62,7 @@
 		socket.on('data', () => {
 			this.#noteFresh();
 		});
-		// Before the listener of Node's HTTP client, which ends the answer.
+		// This listener must run before that of Node's HTTP client, which ends the response.
 		socket.prependOnceListener('end', () => {
 			this.#isEndWithBytes = this.#isFresh;
 		});
--- a/packages/answer/tests/events.feature
+++ b/packages/answer/tests/events.feature
@@ -1,15 +1,15 @@
-Feature: Events of a stream
-  A stream that breaks goes on at another upstream after its last whole event, however its lines end and its bytes come.
+Feature: Splitting a stream into events
+  A stream that breaks is resumed on another upstream after its last complete event, whatever its line ends and however its bytes arrive.
 
-  # Guards against an event that is cut, doubled or left out where a line's end, a byte order mark or an id is split over two reads.
-  Scenario: A stream is cut into the same events wherever its bytes are split
-    When random streams come in random pieces
-    Then each whole event is passed on once, in order, and what is left is the unfinished one
-    And the last id is that of the last whole event that has one
+  # Guards against truncating, repeating or dropping an event if a line end, a byte order mark or an id is split over two reads.
+  Scenario: A stream yields the same events however its bytes are split into chunks
+    When random streams arrive in chunks of random sizes
+    Then each complete event is passed on once, in order, and only the incomplete event remains
+    And the last event id is that of the last complete event with an id
 
-  # Guards against an answer that is whole by one sign and broken off by another.
-  Scenario Outline: A <framing> answer that is <completeness> and ended <place> has the defect "<defect>"
-    When an answer's framing is "<framing>", it is "<completeness>", and it ended "<place>"
+  # Guards against accepting a response as complete by one criterion although it is truncated by another.
+  Scenario Outline: A <framing> response that is <completeness> and ended <place> has the defect "<defect>"
+    When a response's framing is "<framing>", it is "<completeness>", and it ended "<place>"
     Then its defect is "<defect>"
 
     Examples:
--- a/packages/answer/tests/events.steps.ts
+++ b/packages/answer/tests/events.steps.ts
@@ -11,7 +11,7 @@
 	readonly id: string | undefined;
 };
 
-/** A stream, and what came of it in pieces. */
+/** A stream, and the result of splitting it into events chunk by chunk. */
 type SplitStream = {
 	readonly events: readonly Event[];
 	readonly unfinished: string;
@@ -69,26 +69,26 @@
 	};
 };
 
-When('random streams come in random pieces', function (this: EventsWorld) {
+When('random streams arrive in chunks of random sizes', function (this: EventsWorld) {
 	this.streams = fc.sample(STREAM, {numRuns: RUNS, seed: SEED}).map(terms => split(terms));
 });
 
-Then('each whole event is passed on once, in order, and what is left is the unfinished one', function (this: EventsWorld) {
+Then('each complete event is passed on once, in order, and only the incomplete event remains', function (this: EventsWorld) {
 	for (const {events, unfinished, passed, rest} of this.streams) {
 		const whole = Buffer.concat(events.map(event => event.bytes)).toString();
 		assert.equal(passed + rest, whole + unfinished);
-		// The line feed of a last blank line may come after its return has ended the event.
+		// The line feed of the last blank line may arrive in a later chunk than the carriage return that has ended the event.
 		assert.ok(rest === unfinished || rest === `\n${unfinished}`, JSON.stringify(rest));
 	}
 });
 
-Then('the last id is that of the last whole event that has one', function (this: EventsWorld) {
+Then('the last event id is that of the last complete event with an id', function (this: EventsWorld) {
 	for (const {events, lastEventId} of this.streams) {
 		assert.equal(lastEventId, events.findLast(({id}) => id !== undefined)?.id);
 	}
 });
 
-/** Where the last event ended, by the places of the examples. */
+/** The state of the event scanner at the end of the response, by the place named in the examples. */
 const PLACES: Readonly<Record<string, Parameters<typeof getAnswerDefect>[0]['events']>> = {
 	'outside an event': {hasEvents: true, isOutsideEvent: true},
 	'inside an event': {hasEvents: true, isOutsideEvent: false},
@@ -96,7 +96,7 @@
 	'as no stream': undefined,
 };
 
-When('an answer\'s framing is {string}, it is {string}, and it ended {string}', function (this: EventsWorld, framing: AnswerFramingValue, completeness: string, place: string) {
+When('a response\'s framing is {string}, it is {string}, and it ended {string}', function (this: EventsWorld, framing: AnswerFramingValue, completeness: string, place: string) {
 	this.defect = getAnswerDefect({
 		framing, isComplete: completeness !== 'incomplete', isEndWithBytes: completeness === 'ended in the same turn', events: PLACES[place],
 	});
--- a/packages/routing/src/caller-limits.ts
+++ b/packages/routing/src/caller-limits.ts
@@ -1,4 +1,4 @@
-/** What a caller may send and how long it may take. */
+/** The limits on the size of a caller's request and on the time it takes to send it. Times in milliseconds. */
 export type CallerLimits = {
 	readonly maxHeaderBytes: number;
 	readonly maxBodyBytes: number;
--- a/packages/routing/src/engine-limits.ts
+++ b/packages/routing/src/engine-limits.ts
@@ -1,15 +1,15 @@
 import type {ModelShape} from './model-shape.js';
 
-/** What one model engine of a service can hold and run. Memory in megabytes. */
+/** The capacity of each model engine of a service. Memory in megabytes. */
 export type EngineLimits = {
-	/** Requests that run at once. */
+	/** The number of requests that an engine runs at once. */
 	readonly slots: number;
-	/** Tokens that the key-value cache holds. */
+	/** The number of tokens that the key-value cache holds. */
 	readonly cacheTokens: number;
-	/** Memory for weights and adapters together. */
+	/** The memory for model weights and adapters together. */
 	readonly weightMemory: number;
 	readonly adapterSlots: number;
-	/** Loads from the weight store that may start in a second, over all engines. */
+	/** The number of loads from the weight store that may start per second, over all engines together. */
 	readonly loadsPerSecond: number;
 	readonly models: readonly ModelShape[];
 };
--- a/packages/routing/src/get-model-shapes.ts
+++ b/packages/routing/src/get-model-shapes.ts
@@ -3,7 +3,7 @@
 
 const indexes = new WeakMap<EngineLimits, ReadonlyMap<string, ModelShape>>();
 
-/** The models of a service by name, indexed once for each configuration. */
+/** Returns the models of a service by name. The index is built once for each routing configuration. */
 export const getModelShapes = (engine: EngineLimits): ReadonlyMap<string, ModelShape> => {
 	const known = indexes.get(engine);
 	if (known) {
--- a/packages/routing/src/get-priorities.ts
+++ b/packages/routing/src/get-priorities.ts
@@ -2,7 +2,7 @@
 import type {PriorityPair} from './priority-pair.js';
 import type {Routing} from './routing.js';
 
-/** All pairs of a team's and a route's priority that requests can have, the most urgent first. */
+/** Returns all pairs of a team's and a route's priority that requests can have, the most urgent pair first. */
 export const getPriorities = ({routes, teams}: Routing): PriorityPair[] => {
 	const ofRoutes = [...new Set(routes.map(({priority}) => priority))].sort((left, right) => left - right);
 	const ofTeams = teams === undefined ? [LEAST_URGENT] : [...new Set([...teams.map(({priority}) => priority), LEAST_URGENT])].sort((left, right) => left - right);
--- a/packages/routing/src/get-rank.ts
+++ b/packages/routing/src/get-rank.ts
@@ -4,8 +4,8 @@
 import type {Team} from './team.js';
 
 /**
- * How urgent a request is among all that the routing allows, from 0, the most urgent, to `LEAST_URGENT`: by its team's priority, then by its route's. Where
- * callers have no teams, the route's priority itself.
+ * Returns the priority rank of a request, from 0 for the most urgent to `LEAST_URGENT`. Requests are ranked by their team's priority, then
+ * by their route's. If the routing configuration has no teams, the rank is the route's priority.
  */
 export const getRank = ({routing, priorities}: RouteTable, route: Route, team: Team | undefined): number => {
 	if (routing.teams === undefined) {
--- a/packages/routing/src/get-route.ts
+++ b/packages/routing/src/get-route.ts
@@ -12,7 +12,7 @@
 	return query === -1 ? url : url.slice(0, query);
 };
 
-/** The route of a host whose prefix begins the path and is longest. */
+/** Returns the route of the host with the longest path prefix that matches the URL. */
 export const getRoute = (table: RouteTable, host: string, url: string): Route | undefined => {
 	const prefixes = table.hosts.get(getHostName(host));
 	if (!prefixes) {
--- a/packages/routing/src/get-routing-faults.ts
+++ b/packages/routing/src/get-routing-faults.ts
@@ -34,7 +34,7 @@
 	...teams.flatMap(team => getQuotaReasons(team).map(reason => ({path: `teams.${team.name}`, reason}))),
 ];
 
-/** Every fault of a configuration; it is accepted only without any. */
+/** Validates a routing configuration and returns all its errors. The configuration is accepted only if there are none. */
 export const getRoutingFaults = (routing: Routing): RoutingFault[] => {
 	const services = new Set(routing.services.map(service => service.name));
 	const places = new Set<string>();
--- a/packages/routing/src/get-service.ts
+++ b/packages/routing/src/get-service.ts
@@ -1,8 +1,8 @@
 import type {Route} from './route.js';
 
 /**
- * The service that takes a request of the route.
- * @param position - Uniform in [0, 1); decides where the traffic is split.
+ * Chooses the service that receives a request of the route, in proportion to the weights of the route's services.
+ * @param position - A number that is uniformly distributed in [0, 1) over the requests of the route.
  */
 export const getService = (route: Route, position: number): string => {
 	const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
--- a/packages/routing/src/is-repeatable.ts
+++ b/packages/routing/src/is-repeatable.ts
@@ -1,5 +1,5 @@
 import {ROUTE_KIND} from './route-kind.js';
 import type {Route} from './route.js';
 
-/** Whether a request that may have run can be sent once more. */
+/** Returns true if requests of the route may be sent again although an earlier attempt may have run. */
 export const isRepeatable = (route: Route): boolean => route.kind === ROUTE_KIND.Idempotent || (route.kind === ROUTE_KIND.Stream && route.isResumable);
--- a/packages/routing/src/least-urgent.ts
+++ b/packages/routing/src/least-urgent.ts
@@ -1,2 +1,2 @@
-/** The priority of teams and routes that name none, and of callers without a team. */
+/** The lowest priority. Teams and routes without a configured priority have it, and so have callers without a team. */
 export const LEAST_URGENT = 9;
--- a/packages/routing/src/model-shape.ts
+++ b/packages/routing/src/model-shape.ts
@@ -1,10 +1,12 @@
-/** The size of a model and how long it takes to load. Memory in megabytes, times in milliseconds. */
+/** The memory that a model needs and the times that it takes to load. Memory in megabytes, times in milliseconds. */
 export type ModelShape = {
 	readonly name: string;
 	readonly weightMemory: number;
 	readonly adapterMemory: number;
-	/** Load time from the weight store, from the engine's disk and from its host memory. */
+	/** The time to load the model from the weight store. */
 	readonly storeLoadMs: number;
+	/** The time to load the model from the engine's disk. */
 	readonly diskLoadMs: number;
+	/** The time to load the model from the engine's host memory. */
 	readonly memoryLoadMs: number;
 };
--- a/packages/routing/src/new-route-table.ts
+++ b/packages/routing/src/new-route-table.ts
@@ -4,7 +4,7 @@
 import type {RouteTable} from './route-table.js';
 import type {Routing} from './routing.js';
 
-/** Indexes a configuration. */
+/** Builds the look-up tables for a routing configuration. */
 export const newRouteTable = (routing: Routing): RouteTable => {
 	const hosts = new Map<string, Map<string, Route>>();
 	for (const route of routing.routes) {
--- a/packages/routing/src/route-kind.ts
+++ b/packages/routing/src/route-kind.ts
@@ -1,9 +1,9 @@
-/** What may be repeated of a route's requests, and how they are answered. */
+/** The kinds of routes, which determine whether a request may run more than once and whether its response is a stream. */
 export const ROUTE_KIND = {
-	/** Idempotent; may run more than once. */
+	/** Requests are idempotent and may run more than once. */
 	Idempotent: 'idempotent',
-	/** Runs at most once. */
+	/** Requests must run at most once. */
 	Once: 'once',
-	/** Answered as a stream of events. */
+	/** Requests are answered with a stream of server-sent events. */
 	Stream: 'stream',
 } as const;
--- a/packages/routing/src/route-table.ts
+++ b/packages/routing/src/route-table.ts
@@ -5,14 +5,14 @@
 import type {Service} from './service.js';
 import type {Team} from './team.js';
 
-/** A configuration indexed for look-ups. */
+/** A routing configuration with the look-up tables that are built from it. */
 export type RouteTable = {
 	readonly routing: Routing;
 	readonly services: ReadonlyMap<string, Service>;
-	/** For each host, its routes by prefix. */
+	/** The routes by host, then by path prefix. */
 	readonly hosts: ReadonlyMap<string, ReadonlyMap<string, Route>>;
 	readonly teams: ReadonlyMap<string, Team>;
 	readonly keys: KeyTable;
-	/** All pairs of a team's and a route's priority that occur, the most urgent first. */
+	/** All pairs of a team's and a route's priority that requests can have, the most urgent pair first. */
 	readonly priorities: readonly PriorityPair[];
 };
--- a/packages/routing/src/route.ts
+++ b/packages/routing/src/route.ts
@@ -1,28 +1,29 @@
 import type {RouteKindValue} from './route-kind-value.js';
 import type {TrafficShare} from './traffic-share.js';
 
-/** Where requests of one host and path prefix go, and what is promised for them. */
+/** A route: the services that receive the requests of one host and path prefix, with the limits and latency objectives of these requests. */
 export type Route = {
 	readonly name: string;
 	readonly host: string;
-	/** Begins and ends with a slash. */
+	/** The prefix of the URL's path. It begins and ends with a slash. */
 	readonly pathPrefix: string;
 	readonly kind: RouteKindValue;
-	/** Whether callers need no key. */
+	/** True if callers need no API key. */
 	readonly isOpen: boolean;
-	/** Whether a broken stream may go on at another upstream after its last whole event. */
+	/** True if a stream that breaks may be resumed on another upstream after its last complete event. */
 	readonly isResumable: boolean;
-	/** The longest time that a request is held, in milliseconds. */
+	/** The maximum time from a request's arrival to the end of its response, in milliseconds. */
 	readonly timeoutMs: number;
-	/** Time within which an answer is wanted, in milliseconds; for streams, its first event. */
+	/** The latency objective: the time within which the response, or the first event of a stream, should arrive, in milliseconds. */
 	readonly objectiveMs: number;
-	/** The longest pause between two events that is wanted, in milliseconds; 0 where it is not stated. */
+	/** The objective for the longest pause between two events of a stream, in milliseconds; 0 if there is none. */
 	readonly pauseObjectiveMs: number;
-	/** A caller leaves when its answer, or the next event of its stream, has not come for this long, in milliseconds. */
+	/** The time after which a caller is expected to disconnect if no response, or no further event of its stream, has arrived, in milliseconds. */
 	readonly callerPatienceMs: number;
-	/** 0 is the most urgent. */
+	/** The priority of the route's requests; 0 is the most urgent. */
 	readonly priority: number;
-	/** Upstreams to which one request may be sent at most. */
+	/** The maximum number of upstreams to which one request is sent. */
 	readonly maxAttempts: number;
+	/** The services among which the route's requests are divided. */
 	readonly shares: readonly TrafficShare[];
 };
--- a/packages/routing/src/routing-fault.ts
+++ b/packages/routing/src/routing-fault.ts
@@ -1,6 +1,6 @@
-/** Why a routing configuration cannot be accepted. */
+/** A validation error of a routing configuration. */
 export type RoutingFault = {
-	/** Where it stands, such as `routes.r-1`. */
+	/** The part of the configuration that has the error, such as `routes.r-1`. */
 	readonly path: string;
 	readonly reason: string;
 };
--- a/packages/routing/src/routing.ts
+++ b/packages/routing/src/routing.ts
@@ -3,12 +3,12 @@
 import type {Service} from './service.js';
 import type {Team} from './team.js';
 
-/** A whole routing configuration. The highest version is the one in force. */
+/** A complete routing configuration. The configuration with the highest version is in force. */
 export type Routing = {
 	readonly version: number;
 	readonly routes: readonly Route[];
 	readonly services: readonly Service[];
 	readonly limits: CallerLimits;
-	/** Whose keys requests carry; undefined where callers have none. */
+	/** The teams whose API keys requests carry; undefined if callers have no keys. */
 	readonly teams: readonly Team[] | undefined;
 };
--- a/packages/routing/src/team.ts
+++ b/packages/routing/src/team.ts
@@ -1,10 +1,10 @@
 import type {KeyHolder} from '@valelead/access';
 import type {Quota} from '@valelead/quota';
 
-/** Callers that share keys, a priority and a quota. */
+/** A team: callers that share API keys, a priority and a quota. */
 export type Team = KeyHolder & {
-	/** 0 is the most urgent; goes before the priority of a route. */
+	/** The priority of the team's requests; 0 is the most urgent. It takes precedence over the priority of the route. */
 	readonly priority: number;
-	/** Undefined where the team may ask as much as it likes. */
+	/** The team's quota; undefined if its requests are not limited. */
 	readonly quota: Quota | undefined;
 };
--- a/packages/routing/tests/routing.feature
+++ b/packages/routing/tests/routing.feature
@@ -1,16 +1,16 @@
 Feature: Routing
-  A request goes where the routing in force says, and a routing with faults is never accepted.
+  Requests are routed by the configuration in force, and an invalid configuration is never accepted.
 
   Background:
-    Given a routing with these routes
+    Given a routing configuration with these routes
       | name  | host      | prefix  | shares       | timeout |
       | wide  | a.example | /x/     | one:1        | 1000    |
       | deep  | a.example | /x/y/   | two:1        | 1000    |
       | split | b.example | /       | one:9, two:1 | 1000    |
 
-  Scenario Outline: The longest prefix of the host decides
-    When "<url>" is asked for at "<host>"
-    Then route "<route>" takes it
+  Scenario Outline: A request matches the route with the longest path prefix on its host
+    When "<url>" is requested from host "<host>"
+    Then the request matches route "<route>"
 
     Examples:
       | host           | url          | route |
@@ -26,8 +26,8 @@
     When 1000 requests of route "split" are spread evenly
     Then service "one" takes 900 of them
 
-  Scenario Outline: A fault is named
-    When the routing also has this route
+  Scenario Outline: An invalid route is reported with the reason
+    When the configuration also has this route
       | name | host   | prefix   | shares   | timeout   |
       | bad  | <host> | <prefix> | <shares> | <timeout> |
     Then the fault at "routes.bad" says "<reason>"
@@ -39,8 +39,8 @@
       | d.example | /      | one:0, two:0 | 1000    | the weights are negative or add up to 0  |
       | d.example | /      | one:1        | 0       | the timeout is not positive              |
 
-  Scenario Outline: A fault of a team is named
-    When the routing also has teams "mill" with key "k1" and "<name>" with key "<key>" and quota <quota>
+  Scenario Outline: An invalid team is reported with the reason
+    When the configuration also has teams "mill" with key "k1" and "<name>" with key "<key>" and quota <quota>
     Then the fault at "teams.<name>" says "<reason>"
 
     Examples:
@@ -50,7 +50,7 @@
       | foundry |     | 5     | a key is empty                     |
       | foundry | k2  | -1    | a figure of the quota is negative  |
 
-  Scenario Outline: The team's priority goes before the route's
+  Scenario Outline: The team's priority takes precedence over the route's
     Given routes of priority "0, 1, 2" and teams of priority "0, 1"
     Then a request of <team> on a route of priority <route> has rank <rank>
 
@@ -62,10 +62,10 @@
       | a team of priority 1 | 2   | 5    |
       | no team            | 1     | 7    |
 
-  Scenario: More pairs of priorities than ranks keep their order
+  Scenario: Pairs of priorities keep their order if there are more pairs than ranks
     Given routes of priority "0, 1, 2, 3" and teams of priority "0, 1, 2, 3, 4"
     Then the ranks rise from 0 to 9 with the priorities
 
-  Scenario: Without teams a route's priority is its rank
+  Scenario: A request's rank is its route's priority if there are no teams
     Given routes of priority "0, 1, 2" and no teams
     Then a request of no team on a route of priority 2 has rank 2
--- a/packages/routing/tests/routing.steps.ts
+++ b/packages/routing/tests/routing.steps.ts
@@ -37,7 +37,7 @@
 	name, healthPath: '/', maxConnections: 1, engine: undefined,
 });
 
-Given('a routing with these routes', function (this: RoutingWorld, rows: DataTable) {
+Given('a routing configuration with these routes', function (this: RoutingWorld, rows: DataTable) {
 	this.routing = {
 		version: 1,
 		routes: (rows.hashes() as RouteRow[]).map(row => newRoute(row)),
@@ -50,11 +50,11 @@
 	this.table = newRouteTable(this.routing);
 });
 
-When('{string} is asked for at {string}', function (this: RoutingWorld, url: string, host: string) {
+When('{string} is requested from host {string}', function (this: RoutingWorld, url: string, host: string) {
 	this.route = getRoute(this.table, host, url);
 });
 
-Then('route {string} takes it', function (this: RoutingWorld, name: string) {
+Then('the request matches route {string}', function (this: RoutingWorld, name: string) {
 	assert.equal(this.route?.name ?? '', name);
 });
 
@@ -71,7 +71,7 @@
 	assert.equal(this.counts.get(service), count);
 });
 
-When('the routing also has this route', function (this: RoutingWorld, rows: DataTable) {
+When('the configuration also has this route', function (this: RoutingWorld, rows: DataTable) {
 	const added = (rows.hashes() as RouteRow[]).map(row => newRoute(row));
 	this.routing = {...this.routing, routes: [...this.routing.routes, ...added]};
 });
@@ -91,7 +91,7 @@
 		},
 });
 
-When('the routing also has teams {string} with key {string} and {string} with key {string} and quota {int}', function (
+When('the configuration also has teams {string} with key {string} and {string} with key {string} and quota {int}', function (
 	this: RoutingWorld,
 	first: string,
 	firstKey: string,
