--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -8,7 +8,7 @@
 import {mutateRequestEnd} from './mutate-request-end.js';
 import {mutateRefused} from './mutate-refused.js';
 import {mutateFailure} from './mutate-failure.js';
-import {mutateRequest} from './mutate-request.js';
+import {mutateRequestState} from './mutate-request-state.js';
 import {mutateStopRefusals} from './mutate-stop-refusals.js';
 import {newWants} from './new-wants.js';
 import type {AdmissionEffect} from './admission-effect.js';
@@ -27,7 +27,7 @@
 	const record = getCurrent(state, requestId, attemptId);
 	if (record?.state === 'sent') {
 		mutateLaneAnswered(getLane(state, record.vm), now);
-		mutateRequest(record, 'start');
+		mutateRequestState(record, 'start');
 	}
 };
 
@@ -42,7 +42,7 @@
 	lane.ejections = 0;
 	mutateLaneAnswered(lane, now);
 	if (record.state === 'sent') {
-		mutateRequest(record, 'start');
+		mutateRequestState(record, 'start');
 	}
 
 	mutateRequestEnd(state, record, 'finish');
--- a/packages/admission/src/mutate-failure.ts
+++ b/packages/admission/src/mutate-failure.ts
@@ -9,7 +9,7 @@
 import {mutateRefused} from './mutate-refused.js';
 import {mutateReleased} from './mutate-released.js';
 import {mutateQueued} from './mutate-queued.js';
-import {mutateRequest} from './mutate-request.js';
+import {mutateRequestState} from './mutate-request-state.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
@@ -100,7 +100,7 @@
 	}
 
 	mutateReleased(state, record);
-	mutateRequest(record, 'requeue');
+	mutateRequestState(record, 'requeue');
 	mutateQueued(state, record);
 	return effects;
 };
