--- a/apps/valelead-daemon/tests/answer-ends.steps.ts
+++ b/apps/valelead-daemon/tests/answer-ends.steps.ts
@@ -8,7 +8,7 @@
 import {sendAttempt} from './send-attempt.js';
 import {type EngineCodec, EngineClient, UpstreamAgent} from 'valelead-daemon';
 
-type Answer = ConstructorParameters<typeof AnswerSource>[0];
+type Response = ConstructorParameters<typeof AnswerSource>[0];
 
 type EndsWorld = {
 	end: string;
@@ -33,7 +33,7 @@
 const newChunk = (text: string): string => `${text.length.toString(16)}\r\n${text}\r\n`;
 const newLength = (text: string): string => `${STREAM}content-length: ${text.length}\r\n\r\n${text}`;
 
-const ANSWERS: Readonly<Record<string, Answer>> = {
+const RESPONSES: Readonly<Record<string, Response>> = {
 	'unframed, reset right after its head': {bytes: `${HEAD}\r\n`, end: 'reset'},
 	'unframed, closed in order': {bytes: `${HEAD}\r\nok`, end: 'close'},
 	'unframed and empty, closed in order': {bytes: `${HEAD}\r\n`, end: 'close'},
@@ -84,7 +84,7 @@
 const CALL_TIMEOUT_MS = 1000;
 
 /** The result code and the outcome of a truncated response. */
-const CUT = '3005 unknown';
+const TRUNCATED_RESULT = '3005 unknown';
 
 /** Number of random streams. Each of them is truncated at some hundred positions. */
 const STREAMS = 8;
@@ -113,7 +113,7 @@
 
 type SentEnd = Parameters<Parameters<typeof sendAttempt>[2]>[0];
 
-type Cut = Answer & {
+type Truncation = Response & {
 	readonly name: string;
 	readonly isWhole: boolean;
 };
@@ -160,12 +160,12 @@
 };
 
 /** Returns the stream truncated at each position and in each way, and the complete stream. */
-const newCuts = ({bytes, outside}: RandomStream): Cut[] => {
-	const cuts: Cut[] = [];
+const newTruncations = ({bytes, outside}: RandomStream): Truncation[] => {
+	const cuts: Truncation[] = [];
 	for (const framing of ['connection', 'chunks', 'length'] as const) {
 		for (let length = 0; length <= bytes.length; length += 1) {
 			const body = bytes.subarray(0, length);
-			const newCut = (end: Answer['end'], isEnded: boolean, isWhole: boolean): Cut => ({
+			const newTruncation = (end: Response['end'], isEnded: boolean, isWhole: boolean): Truncation => ({
 				name: `${framing}, ${length} of ${bytes.length} bytes of ${JSON.stringify(bytes.toString())}, ${end}${isEnded ? ', framing complete' : ''}`,
 				bytes: newFramed(framing, body, isEnded ? length : bytes.length, isEnded),
 				end,
@@ -173,13 +173,13 @@
 			});
 			if (framing === 'connection') {
 				const isWhole = outside.get(length) === true;
-				cuts.push(newCut('late close', false, isWhole), newCut('close', false, isWhole), newCut('reset', false, false));
+				cuts.push(newTruncation('late close', false, isWhole), newTruncation('close', false, isWhole), newTruncation('reset', false, false));
 				continue;
 			}
 
-			cuts.push(newCut('keep', true, outside.has(length)));
+			cuts.push(newTruncation('keep', true, outside.has(length)));
 			if (framing === 'chunks' || length < bytes.length) {
-				cuts.push(...BROKEN_ENDS.map(end => newCut(end, false, false)));
+				cuts.push(...BROKEN_ENDS.map(end => newTruncation(end, false, false)));
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 	return cuts;
 };
 
-const send = async (answer: Answer): Promise<SentEnd> => {
+const send = async (answer: Response): Promise<SentEnd> => {
 	const source = new AnswerSource(answer);
 	const agent = new UpstreamAgent(1);
 	const port = await source.listen();
@@ -200,21 +200,21 @@
 };
 
 When('an upstream sends a response that is {string}', async function (this: EndsWorld, name: string) {
-	const {end, connection} = await send(ANSWERS[name]);
+	const {end, connection} = await send(RESPONSES[name]);
 	this.end = end;
 	this.connection = connection;
 });
 
 Then('the response ends as {string}', function (this: EndsWorld, end: string) {
-	assert.equal(this.end, end === 'whole' ? 'whole' : CUT);
+	assert.equal(this.end, end === 'whole' ? 'whole' : TRUNCATED_RESULT);
 });
 
 Then('the response ends as "cut" and its connection is {string}', function (this: EndsWorld, connection: string) {
-	assert.deepEqual([this.end, this.connection], [CUT, connection]);
+	assert.deepEqual([this.end, this.connection], [TRUNCATED_RESULT, connection]);
 });
 
 When('random streams are sent in each framing, truncated at each byte and in each way', {timeout: 60_000}, async function (this: EndsWorld) {
-	const cuts = fc.sample(RANDOM_STREAM, {numRuns: STREAMS, seed: SEED}).flatMap(stream => newCuts(newStream(stream)));
+	const cuts = fc.sample(RANDOM_STREAM, {numRuns: STREAMS, seed: SEED}).flatMap(stream => newTruncations(newStream(stream)));
 	this.mistaken = [];
 	const sendNext = async (): Promise<void> => {
 		for (let cut = cuts.pop(); cut; cut = cuts.pop()) {
@@ -233,7 +233,7 @@
 });
 
 const withSource = async <Result>(name: string, ask: (port: number) => Promise<Result>): Promise<Result> => {
-	const source = new AnswerSource(ANSWERS[name]);
+	const source = new AnswerSource(RESPONSES[name]);
 	try {
 		return await ask(await source.listen());
 	} finally {
--- a/apps/valelead-daemon/tests/answer-source.ts
+++ b/apps/valelead-daemon/tests/answer-source.ts
@@ -7,7 +7,7 @@
 /** How an upstream ends the connection after it has sent its bytes. */
 type ConnectionEnd = 'keep' | 'close' | 'reset' | 'late close' | 'late reset';
 
-type SourceAnswer = {
+type SourceResponse = {
 	readonly bytes: Uint8Array | string;
 	/** Bytes that are sent `LATE_MS` after the first ones, directly before the connection ends. */
 	readonly laterBytes?: string;
@@ -28,9 +28,9 @@
 	});
 
 	readonly #sockets = new Set<Socket>();
-	readonly #sent: SourceAnswer;
+	readonly #sent: SourceResponse;
 
-	constructor(answer: SourceAnswer) {
+	constructor(answer: SourceResponse) {
 		this.#sent = answer;
 	}
 
--- a/apps/valelead-daemon/tests/is-hopeless.steps.ts
+++ b/apps/valelead-daemon/tests/is-load-too-late.steps.ts
@@ -4,7 +4,7 @@
 	type Demand, type GatewayRequest, ExpectedReturns, isHopeless, newDemand,
 } from 'valelead-daemon';
 
-type HopelessWorld = {
+type LateLoadWorld = {
 	objectiveMs: number;
 	patienceMs: number;
 	timeMs: number;
@@ -15,7 +15,7 @@
 
 const ARRIVED_AT = 1000;
 
-const getDemand = ({objectiveMs, patienceMs}: HopelessWorld, timeMs: number): Demand => {
+const getDemand = ({objectiveMs, patienceMs}: LateLoadWorld, timeMs: number): Demand => {
 	const request: Pick<GatewayRequest, 'arrivedAt' | 'deadlineAt' | 'service' | 'target'> & {readonly head: object; readonly route: object} = {
 		arrivedAt: ARRIVED_AT,
 		deadlineAt: ARRIVED_AT + timeMs,
@@ -27,39 +27,39 @@
 	return newDemand(request as GatewayRequest);
 };
 
-const decide = (world: HopelessWorld, timeMs: number, waitedMs: number, forecastMs: number): boolean => isHopeless(getDemand(world, timeMs), forecastMs, ARRIVED_AT + waitedMs);
+const decide = (world: LateLoadWorld, timeMs: number, waitedMs: number, forecastMs: number): boolean => isHopeless(getDemand(world, timeMs), forecastMs, ARRIVED_AT + waitedMs);
 
-Given('a route with an objective of {int} ms whose callers leave after {int} ms, and a timeout of {int} ms', function (this: HopelessWorld, objectiveMs: number, patienceMs: number, timeMs: number) {
+Given('a route with an objective of {int} ms whose callers leave after {int} ms, and a timeout of {int} ms', function (this: LateLoadWorld, objectiveMs: number, patienceMs: number, timeMs: number) {
 	this.objectiveMs = objectiveMs;
 	this.patienceMs = patienceMs;
 	this.timeMs = timeMs;
 });
 
-When('a request has waited for {int} ms and its model is expected in {int} ms', function (this: HopelessWorld, waitedMs: number, forecastMs: number) {
+When('a request has waited for {int} ms and its model is expected in {int} ms', function (this: LateLoadWorld, waitedMs: number, forecastMs: number) {
 	this.isGivenUp = decide(this, this.timeMs, waitedMs, forecastMs);
 });
 
-When('a request with a timeout of {int} ms has waited for {int} ms and its model is expected in {int} ms', function (this: HopelessWorld, timeMs: number, waitedMs: number, forecastMs: number) {
+When('a request with a timeout of {int} ms has waited for {int} ms and its model is expected in {int} ms', function (this: LateLoadWorld, timeMs: number, waitedMs: number, forecastMs: number) {
 	this.isGivenUp = decide(this, timeMs, waitedMs, forecastMs);
 });
 
-Then('the decision about it is {string}', function (this: HopelessWorld, decision: string) {
+Then('the decision about it is {string}', function (this: LateLoadWorld, decision: string) {
 	assert.equal(this.isGivenUp, decision === 'given up');
 });
 
-When('a refused caller is given a Retry-After time of {int} ms', function (this: HopelessWorld, returnMs: number) {
+When('a refused caller is given a Retry-After time of {int} ms', function (this: LateLoadWorld, returnMs: number) {
 	this.demand = getDemand(this, this.timeMs);
 	this.returns = new ExpectedReturns();
 	this.returns.add(this.demand, ARRIVED_AT + returnMs);
 });
 
-Then('its model is still needed after {int} ms, for a caller that leaves {int} ms after its retry is due', function (this: HopelessWorld, afterMs: number, leavesMs: number) {
+Then('its model is still needed after {int} ms, for a caller that leaves {int} ms after its retry is due', function (this: LateLoadWorld, afterMs: number, leavesMs: number) {
 	const [demand] = this.returns.getDemands(ARRIVED_AT + afterMs);
 	assert.equal(demand.target, this.demand.target);
 	assert.equal(demand.dueAt, this.demand.dueAt);
 	assert.equal(demand.leavesAt, ARRIVED_AT + 4000 + leavesMs);
 });
 
-Then('its model is no longer needed after {int} ms', function (this: HopelessWorld, afterMs: number) {
+Then('its model is no longer needed after {int} ms', function (this: LateLoadWorld, afterMs: number) {
 	assert.deepEqual(this.returns.getDemands(ARRIVED_AT + afterMs), []);
 });
--- a/packages/answer/src/event-scanner.ts
+++ b/packages/answer/src/event-scanner.ts
@@ -40,7 +40,7 @@
 	 * Reads the next chunk of the stream.
 	 * @returns The offset in the chunk after the last blank line that ends in it, or 0 if none does. Events and comments before the offset are complete.
 	 */
-	take(chunk: Buffer): number {
+	scan(chunk: Buffer): number {
 		let end = 0;
 		for (const [index, byte] of chunk.entries()) {
 			if (this.#takeByte(byte)) {
--- a/packages/answer/src/event-splitter.ts
+++ b/packages/answer/src/event-splitter.ts
@@ -2,7 +2,7 @@
 import {EventScanner} from './event-scanner.js';
 
 /** The bytes up to the end of the last event that a chunk completed, and the id of the last event among them that has one. */
-type WholeEvents = {
+type CompleteEvents = {
 	readonly bytes: Buffer;
 	/** Undefined if none of these events has an id. */
 	readonly lastEventId: string | undefined;
@@ -29,17 +29,17 @@
 	}
 
 	/** Adds the next chunk and returns the events that are complete with it. */
-	take(chunk: Buffer): WholeEvents {
-		const end = this.#scanner.take(chunk);
+	take(chunk: Buffer): CompleteEvents {
+		const end = this.#scanner.scan(chunk);
 		if (end === 0) {
 			this.#rest = Buffer.concat([this.#rest, chunk]);
 			return {bytes: Buffer.alloc(0), lastEventId: undefined};
 		}
 
-		const whole = this.#withoutMark(Buffer.concat([this.#rest, chunk.subarray(0, end)]));
+		const complete = this.#withoutMark(Buffer.concat([this.#rest, chunk.subarray(0, end)]));
 		this.#isMarkDue = false;
 		this.#rest = chunk.subarray(end);
-		return {bytes: whole, lastEventId: this.#getLastId(whole)};
+		return {bytes: complete, lastEventId: this.#getLastId(complete)};
 	}
 
 	/** The bytes after the last complete event. */
--- a/packages/answer/src/get-answer-defect.ts
+++ b/packages/answer/src/get-answer-defect.ts
@@ -4,12 +4,12 @@
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
 /** The facts about an ended response that decide whether it is complete. */
-type EndedAnswer = {
+type EndedResponse = {
 	readonly framing: AnswerFramingValue;
 	/** True if the body reached the end that its framing prescribes. */
 	readonly isComplete: boolean;
 	/** True if the connection ended in the same event-loop iteration in which its last bytes arrived, as happens with a reset. */
-	readonly isEndWithBytes: boolean;
+	readonly isEndedWithData: boolean;
 	/** The position in an event stream at which the response ended; undefined if it is not an event stream that can be scanned. */
 	readonly events: {readonly hasEvents: boolean; readonly isOutsideEvent: boolean} | undefined;
 };
@@ -18,7 +18,7 @@
  * Returns the reason why an ended response is incomplete, or undefined if it is complete. A response that is delimited only by the end of its
  * connection, is not an event stream and whose connection closed without a reset is accepted as complete, as nothing shows otherwise.
  */
-export const getAnswerDefect = ({framing, isComplete, isEndWithBytes, events}: EndedAnswer): AnswerDefectValue | undefined => {
+export const getAnswerDefect = ({framing, isComplete, isEndedWithData: isEndWithBytes, events}: EndedResponse): AnswerDefectValue | undefined => {
 	if (!isComplete) {
 		return ANSWER_DEFECT.Incomplete;
 	}
--- a/packages/answer/src/get-answer-framing.ts
+++ b/packages/answer/src/get-answer-framing.ts
@@ -2,7 +2,7 @@
 import {ANSWER_FRAMING} from './answer-framing.js';
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
-type AnswerTerms = {
+type ResponseHead = {
 	/** HTTP method of the request. */
 	readonly method: string;
 	readonly status: number;
@@ -16,7 +16,7 @@
 const LAST_CODING_CHUNKED = /(?:^|,)\s*chunked\s*$/iv;
 
 /** Returns how the body of a response is delimited (RFC 9112, section 6.3). */
-export const getAnswerFraming = ({method, status, headers}: AnswerTerms): AnswerFramingValue => {
+export const getAnswerFraming = ({method, status, headers}: ResponseHead): AnswerFramingValue => {
 	if (method === 'HEAD' || BODYLESS_STATUSES.has(status)) {
 		return ANSWER_FRAMING.Bodyless;
 	}
--- a/packages/answer/src/received-answer.ts
+++ b/packages/answer/src/received-answer.ts
@@ -46,13 +46,13 @@
 
 	/** Reads the next bytes of the body. */
 	take(chunk: Buffer): void {
-		this.#events?.take(chunk);
+		this.#events?.scan(chunk);
 	}
 
 	/** Returns the reason why the response is incomplete, or undefined if it is complete. It must be called after all bytes were read. */
 	getDefect(): AnswerDefectValue | undefined {
 		return getAnswerDefect({
-			framing: this.#framing, isComplete: this.#message.complete, isEndWithBytes: this.#isEndWithBytes, events: this.#events,
+			framing: this.#framing, isComplete: this.#message.complete, isEndedWithData: this.#isEndWithBytes, events: this.#events,
 		});
 	}
 
--- a/packages/answer/tests/events.steps.ts
+++ b/packages/answer/tests/events.steps.ts
@@ -98,7 +98,7 @@
 
 When('a response\'s framing is {string}, it is {string}, and it ended {string}', function (this: EventsWorld, framing: AnswerFramingValue, completeness: string, place: string) {
 	this.defect = getAnswerDefect({
-		framing, isComplete: completeness !== 'incomplete', isEndWithBytes: completeness === 'ended in the same turn', events: PLACES[place],
+		framing, isComplete: completeness !== 'incomplete', isEndedWithData: completeness === 'ended in the same turn', events: PLACES[place],
 	});
 });
 
--- a/packages/routing/src/get-rank.ts
+++ b/packages/routing/src/get-rank.ts
@@ -14,6 +14,6 @@
 
 	const teamPriority = team?.priority ?? LEAST_URGENT;
 	const position = priorities.findIndex(pair => pair.team === teamPriority && pair.route === route.priority);
-	const most = priorities.length - 1;
-	return most <= LEAST_URGENT ? position : Math.floor(position * LEAST_URGENT / most);
+	const maxPosition = priorities.length - 1;
+	return maxPosition <= LEAST_URGENT ? position : Math.floor(position * LEAST_URGENT / maxPosition);
 };
--- a/packages/routing/src/get-routing-faults.ts
+++ b/packages/routing/src/get-routing-faults.ts
@@ -37,16 +37,16 @@
 /** Validates a routing configuration and returns all its errors. The configuration is accepted only if there are none. */
 export const getRoutingFaults = (routing: Routing): RoutingFault[] => {
 	const services = new Set(routing.services.map(service => service.name));
-	const places = new Set<string>();
+	const locations = new Set<string>();
 	const faults: RoutingFault[] = [];
 	for (const route of routing.routes) {
 		const path = `routes.${route.name}`;
-		const place = `${route.host}${route.pathPrefix}`;
-		if (places.has(place)) {
+		const location = `${route.host}${route.pathPrefix}`;
+		if (locations.has(location)) {
 			faults.push({path, reason: 'another route has the same host and prefix'});
 		}
 
-		places.add(place);
+		locations.add(location);
 		faults.push(...getRouteReasons(route, services).map(reason => ({path, reason})));
 	}
 
