--- a/packages/admission/src/mutate-failure.ts
+++ b/packages/admission/src/mutate-failure.ts
@@ -7,7 +7,7 @@
 import {mutateLaneAnswered} from './mutate-lane-answered.js';
 import {mutateLaneFailure} from './mutate-lane-failure.js';
 import {mutateRefused} from './mutate-refused.js';
-import {mutateReleased} from './mutate-released.js';
+import {mutateRequestRelease} from './mutate-request-release.js';
 import {mutateQueued} from './mutate-queued.js';
 import {mutateRequestState} from './mutate-request-state.js';
 import type {AdmissionEffect} from './admission-effect.js';
@@ -99,7 +99,7 @@
 		return [...effects, ...mutateRefused(state, record, failure.code, failure.outcome)];
 	}
 
-	mutateReleased(state, record);
+	mutateRequestRelease(state, record);
 	mutateRequestState(record, 'requeue');
 	mutateQueued(state, record);
 	return effects;
--- a/packages/admission/src/mutate-request-end.ts
+++ b/packages/admission/src/mutate-request-end.ts
@@ -1,11 +1,11 @@
-import {mutateReleased} from './mutate-released.js';
+import {mutateRequestRelease} from './mutate-request-release.js';
 import {mutateRequestState} from './mutate-request-state.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
 /** Ends a request. Whatever arrives for it later finds no record and is dropped. */
 export const mutateRequestEnd = (state: AdmissionState, record: RequestRecord, event: string): void => {
-	mutateReleased(state, record);
+	mutateRequestRelease(state, record);
 	mutateRequestState(record, event);
 	state.requests.delete(record.ticket.requestId);
 };
--- a/packages/admission/src/mutate-released.ts
+++ b/packages/admission/src/mutate-request-release.ts
@@ -5,7 +5,7 @@
 import type {RequestRecord} from './request-record.js';
 
 /** Takes a request out of the queue or from its upstream. */
-export const mutateReleased = (state: AdmissionState, record: RequestRecord): void => {
+export const mutateRequestRelease = (state: AdmissionState, record: RequestRecord): void => {
 	if (record.state === 'waiting') {
 		mutateUnqueued(state, record);
 		return;
