--- a/apps/valelead-daemon/tests/answer-ends.steps.ts
+++ b/apps/valelead-daemon/tests/answer-ends.steps.ts
@@ -4,11 +4,11 @@
 import * as fc from 'fast-check';
 import type {ValeleadError} from '@valelead/common';
 import {HttpUpstream} from '@valelead/engine';
-import {AnswerSource} from './answer-source.js';
+import {ResponseSource} from './response-source.js';
 import {sendAttempt} from './send-attempt.js';
 import {type EngineCodec, EngineClient, UpstreamAgent} from 'valelead-daemon';
 
-type Response = ConstructorParameters<typeof AnswerSource>[0];
+type Response = ConstructorParameters<typeof ResponseSource>[0];
 
 type EndsWorld = {
 	end: string;
@@ -188,7 +188,7 @@
 };
 
 const send = async (answer: Response): Promise<SentEnd> => {
-	const source = new AnswerSource(answer);
+	const source = new ResponseSource(answer);
 	const agent = new UpstreamAgent(1);
 	const port = await source.listen();
 	const end = await new Promise<SentEnd>(resolve => {
@@ -233,7 +233,7 @@
 });
 
 const withSource = async <Result>(name: string, ask: (port: number) => Promise<Result>): Promise<Result> => {
-	const source = new AnswerSource(RESPONSES[name]);
+	const source = new ResponseSource(RESPONSES[name]);
 	try {
 		return await ask(await source.listen());
 	} finally {
--- a/apps/valelead-daemon/tests/answer-source.ts
+++ b/apps/valelead-daemon/tests/response-source.ts
@@ -18,7 +18,7 @@
 const LATE_MS = 20;
 
 /** A test upstream that answers each connection with the same bytes and then ends it in the same way. */
-export class AnswerSource {
+export class ResponseSource {
 	readonly #server = createServer(socket => {
 		this.#sockets.add(socket);
 		socket.on('error', () => undefined);
