--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -6,7 +6,7 @@
 import {mutateDeadlines} from './mutate-deadlines.js';
 import {mutateDispatches} from './mutate-dispatches.js';
 import {mutateRequestEnd} from './mutate-request-end.js';
-import {mutateRefused} from './mutate-refused.js';
+import {mutateRequestRefusal} from './mutate-request-refusal.js';
 import {mutateFailure} from './mutate-failure.js';
 import {mutateRequestState} from './mutate-request-state.js';
 import {mutateStopRefusals} from './mutate-stop-refusals.js';
@@ -81,7 +81,7 @@
 
 		case 'giveUp': {
 			const record = state.requests.get(event.requestId);
-			return record?.state === 'waiting' ? mutateRefused(state, record, event.code, OUTCOME.NotRun, event.retryAfterMs) : [];
+			return record?.state === 'waiting' ? mutateRequestRefusal(state, record, event.code, OUTCOME.NotRun, event.retryAfterMs) : [];
 		}
 
 		case 'stop': {
@@ -91,7 +91,7 @@
 
 		case 'refuseAll': {
 			const waiting = [...state.requests.values()].filter(record => record.state === 'waiting');
-			return waiting.flatMap(record => mutateRefused(state, record, event.code, OUTCOME.NotRun));
+			return waiting.flatMap(record => mutateRequestRefusal(state, record, event.code, OUTCOME.NotRun));
 		}
 
 		case 'credits': {
--- a/packages/admission/src/mutate-deadlines.ts
+++ b/packages/admission/src/mutate-deadlines.ts
@@ -1,7 +1,7 @@
 import {OUTCOME, RESULT_CODE} from '@valelead/common';
 import {getLane} from './get-lane.js';
 import {mutateLaneFailure} from './mutate-lane-failure.js';
-import {mutateRefused} from './mutate-refused.js';
+import {mutateRequestRefusal} from './mutate-request-refusal.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
@@ -37,7 +37,7 @@
 		const isServed = (state.endpoints.get(record.ticket.target)?.length ?? 0) > 0;
 		const outcome = record.state === 'waiting' ? OUTCOME.NotRun : OUTCOME.Unknown;
 		const code = isServed || record.state !== 'waiting' ? RESULT_CODE.DeadlineExceeded : RESULT_CODE.NoUpstream;
-		effects.push(...mutateRefused(state, record, code, outcome));
+		effects.push(...mutateRequestRefusal(state, record, code, outcome));
 	}
 
 	state.nextDeadlineAt = nextDeadlineAt;
--- a/packages/admission/src/mutate-failure.ts
+++ b/packages/admission/src/mutate-failure.ts
@@ -6,7 +6,7 @@
 import {getLane} from './get-lane.js';
 import {mutateLaneAnswered} from './mutate-lane-answered.js';
 import {mutateLaneFailure} from './mutate-lane-failure.js';
-import {mutateRefused} from './mutate-refused.js';
+import {mutateRequestRefusal} from './mutate-request-refusal.js';
 import {mutateRequestRelease} from './mutate-request-release.js';
 import {mutateQueued} from './mutate-queued.js';
 import {mutateRequestState} from './mutate-request-state.js';
@@ -96,7 +96,7 @@
 	}
 
 	if (!isRetried) {
-		return [...effects, ...mutateRefused(state, record, failure.code, failure.outcome)];
+		return [...effects, ...mutateRequestRefusal(state, record, failure.code, failure.outcome)];
 	}
 
 	mutateRequestRelease(state, record);
--- a/packages/admission/src/mutate-refused.ts
+++ b/packages/admission/src/mutate-request-refusal.ts
@@ -9,7 +9,7 @@
  * Ends a request with a refusal. What was dispatched and not refused by its agent may have run.
  * @param retryAfterMs - When the caller should come back, in milliseconds; once the present queue is served where it is not known better.
  */
-export const mutateRefused = (
+export const mutateRequestRefusal = (
 	state: AdmissionState,
 	record: RequestRecord,
 	code: ResultCodeValue,
--- a/packages/admission/src/mutate-stop-refusals.ts
+++ b/packages/admission/src/mutate-stop-refusals.ts
@@ -1,5 +1,5 @@
 import {OUTCOME, RESULT_CODE} from '@valelead/common';
-import {mutateRefused} from './mutate-refused.js';
+import {mutateRequestRefusal} from './mutate-request-refusal.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
@@ -18,5 +18,5 @@
 	}
 
 	const turnedAway = [...state.requests.values()].filter(record => isCutAtEnd(record, endsAt));
-	return turnedAway.flatMap(record => mutateRefused(state, record, RESULT_CODE.Draining, OUTCOME.NotRun, 0));
+	return turnedAway.flatMap(record => mutateRequestRefusal(state, record, RESULT_CODE.Draining, OUTCOME.NotRun, 0));
 };
