--- a/packages/routing/src/new-route-table.ts
+++ b/packages/routing/src/new-route-table.ts
@@ -1,5 +1,5 @@
 import {newKeyTable} from '@valelead/access';
-import {getPriorities} from './get-priorities.js';
+import {getPriorityPairs} from './get-priority-pairs.js';
 import type {Route} from './route.js';
 import type {RouteTable} from './route-table.js';
 import type {Routing} from './routing.js';
@@ -21,6 +21,6 @@
 		hosts,
 		teams: new Map(teams.map(team => [team.name, team])),
 		keys: newKeyTable(teams),
-		priorities: getPriorities(routing),
+		priorities: getPriorityPairs(routing),
 	};
 };
