--- a/packages/admission/src/mutate-arrival.ts
+++ b/packages/admission/src/mutate-arrival.ts
@@ -4,7 +4,7 @@
 import {getRetryAfterMs} from './get-retry-after-ms.js';
 import {getTeamUsage} from './get-team-usage.js';
 import {getWaitMs} from './get-wait-ms.js';
-import {mutateQueued} from './mutate-queued.js';
+import {mutateEnqueued} from './mutate-enqueued.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
@@ -41,6 +41,6 @@
 		ticket, limits, state: 'waiting', attempts: 0, attemptId: '', vm: '', runs: 0, dispatchedAt: 0,
 	};
 	state.requests.set(ticket.requestId, record);
-	mutateQueued(state, record);
+	mutateEnqueued(state, record);
 	return [];
 };
--- a/packages/admission/src/mutate-queued.ts
+++ b/packages/admission/src/mutate-enqueued.ts
@@ -4,7 +4,7 @@
 import type {RequestRecord} from './request-record.js';
 
 /** Puts a request into its queue. A team that was idle starts level with the least served one. */
-export const mutateQueued = (state: AdmissionState, record: RequestRecord): void => {
+export const mutateEnqueued = (state: AdmissionState, record: RequestRecord): void => {
 	const usage = getTeamUsage(state, record.ticket.team);
 	if (usage.waiting === 0) {
 		usage.virtualTime = Math.max(usage.virtualTime, state.virtualTime);
--- a/packages/admission/src/mutate-failure.ts
+++ b/packages/admission/src/mutate-failure.ts
@@ -8,7 +8,7 @@
 import {mutateLaneFailure} from './mutate-lane-failure.js';
 import {mutateRequestRefusal} from './mutate-request-refusal.js';
 import {mutateRequestRelease} from './mutate-request-release.js';
-import {mutateQueued} from './mutate-queued.js';
+import {mutateEnqueued} from './mutate-enqueued.js';
 import {mutateRequestState} from './mutate-request-state.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionSettings} from './admission-settings.js';
@@ -101,6 +101,6 @@
 
 	mutateRequestRelease(state, record);
 	mutateRequestState(record, 'requeue');
-	mutateQueued(state, record);
+	mutateEnqueued(state, record);
 	return effects;
 };
