--- a/packages/answer/src/get-answer-defect.ts
+++ b/packages/answer/src/get-answer-defect.ts
@@ -1,6 +1,6 @@
 import {ANSWER_DEFECT} from './answer-defect.js';
 import {ANSWER_FRAMING} from './answer-framing.js';
-import type {AnswerDefectValue} from './answer-defect-value.js';
+import type {ResponseDefectValue} from './response-defect-value.js';
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
 /** The facts about an ended response that decide whether it is complete. */
@@ -18,7 +18,7 @@
  * Returns the reason why an ended response is incomplete, or undefined if it is complete. A response that is delimited only by the end of its
  * connection, is not an event stream and whose connection closed without a reset is accepted as complete, as nothing shows otherwise.
  */
-export const getAnswerDefect = ({framing, isComplete, isEndedWithData: isEndWithBytes, events}: EndedResponse): AnswerDefectValue | undefined => {
+export const getAnswerDefect = ({framing, isComplete, isEndedWithData: isEndWithBytes, events}: EndedResponse): ResponseDefectValue | undefined => {
 	if (!isComplete) {
 		return ANSWER_DEFECT.Incomplete;
 	}
--- a/packages/answer/src/index.ts
+++ b/packages/answer/src/index.ts
@@ -1,4 +1,4 @@
-export type {AnswerDefectValue} from './answer-defect-value.js';
+export type {ResponseDefectValue as AnswerDefectValue} from './response-defect-value.js';
 export type {AnswerFramingValue} from './answer-framing-value.js';
 export {ANSWER_DEFECT} from './answer-defect.js';
 export {ANSWER_FRAMING} from './answer-framing.js';
--- a/packages/answer/src/received-answer.ts
+++ b/packages/answer/src/received-answer.ts
@@ -5,7 +5,7 @@
 import {getAnswerDefect} from './get-answer-defect.js';
 import {getAnswerFraming} from './get-answer-framing.js';
 import {isEventStream} from './is-event-stream.js';
-import type {AnswerDefectValue} from './answer-defect-value.js';
+import type {ResponseDefectValue} from './response-defect-value.js';
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
 /** Returns true if the body is an event stream whose lines can be read, that is, one without a content coding such as gzip. */
@@ -50,7 +50,7 @@
 	}
 
 	/** Returns the reason why the response is incomplete, or undefined if it is complete. It must be called after all bytes were read. */
-	getDefect(): AnswerDefectValue | undefined {
+	getDefect(): ResponseDefectValue | undefined {
 		return getAnswerDefect({
 			framing: this.#framing, isComplete: this.#message.complete, isEndedWithData: this.#isEndWithBytes, events: this.#events,
 		});
