--- a/packages/admission/src/mutate-unqueued.ts
+++ b/packages/admission/src/mutate-dequeued.ts
@@ -3,7 +3,7 @@
 import type {RequestRecord} from './request-record.js';
 
 /** Takes a request out of its queue. */
-export const mutateUnqueued = (state: AdmissionState, record: RequestRecord): void => {
+export const mutateDequeued = (state: AdmissionState, record: RequestRecord): void => {
 	const queue = state.queues.get(record.ticket.target) ?? [];
 	queue.splice(queue.indexOf(record), 1);
 	if (queue.length === 0) {
--- a/packages/admission/src/mutate-dispatches.ts
+++ b/packages/admission/src/mutate-dispatches.ts
@@ -2,7 +2,7 @@
 import {getNextRequest} from './get-next-request.js';
 import {getTeamUsage} from './get-team-usage.js';
 import {mutateRequestState} from './mutate-request-state.js';
-import {mutateUnqueued} from './mutate-unqueued.js';
+import {mutateDequeued} from './mutate-dequeued.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {BestLane} from './best-lane.js';
 import type {AdmissionSettings} from './admission-settings.js';
@@ -34,7 +34,7 @@
 
 const newDispatch = (state: AdmissionState, record: RequestRecord, {vm, lane, isDirect}: BestLane, now: number): AdmissionEffect => {
 	const creditId = isDirect ? '' : lane.credits.shift()!.id;
-	mutateUnqueued(state, record);
+	mutateDequeued(state, record);
 	mutateRequestState(record, 'dispatch');
 	mutateUsage(state, record);
 	mutateSpeed(state, record.ticket.target, now);
--- a/packages/admission/src/mutate-request-release.ts
+++ b/packages/admission/src/mutate-request-release.ts
@@ -1,13 +1,13 @@
 import {getLane} from './get-lane.js';
 import {getTeamUsage} from './get-team-usage.js';
-import {mutateUnqueued} from './mutate-unqueued.js';
+import {mutateDequeued} from './mutate-dequeued.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
 /** Takes a request out of the queue or from its upstream. */
 export const mutateRequestRelease = (state: AdmissionState, record: RequestRecord): void => {
 	if (record.state === 'waiting') {
-		mutateUnqueued(state, record);
+		mutateDequeued(state, record);
 		return;
 	}
 
