--- a/packages/answer/src/get-answer-defect.ts
+++ b/packages/answer/src/get-answer-defect.ts
@@ -1,5 +1,5 @@
 import {ANSWER_DEFECT} from './answer-defect.js';
-import {ANSWER_FRAMING} from './answer-framing.js';
+import {RESPONSE_FRAMING} from './response-framing.js';
 import type {ResponseDefectValue} from './response-defect-value.js';
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
@@ -23,7 +23,7 @@
 		return ANSWER_DEFECT.Incomplete;
 	}
 
-	const isEndedByConnection = framing === ANSWER_FRAMING.Connection;
+	const isEndedByConnection = framing === RESPONSE_FRAMING.Connection;
 	if (isEndedByConnection && isEndWithBytes) {
 		return ANSWER_DEFECT.Reset;
 	}
--- a/packages/answer/src/get-answer-framing.ts
+++ b/packages/answer/src/get-answer-framing.ts
@@ -1,5 +1,5 @@
 import type {IncomingHttpHeaders} from 'node:http';
-import {ANSWER_FRAMING} from './answer-framing.js';
+import {RESPONSE_FRAMING} from './response-framing.js';
 import type {AnswerFramingValue} from './answer-framing-value.js';
 
 type ResponseHead = {
@@ -18,13 +18,13 @@
 /** Returns how the body of a response is delimited (RFC 9112, section 6.3). */
 export const getAnswerFraming = ({method, status, headers}: ResponseHead): AnswerFramingValue => {
 	if (method === 'HEAD' || BODYLESS_STATUSES.has(status)) {
-		return ANSWER_FRAMING.Bodyless;
+		return RESPONSE_FRAMING.Bodyless;
 	}
 
 	const coding = headers['transfer-encoding'];
 	if (coding !== undefined) {
-		return LAST_CODING_CHUNKED.test(coding) ? ANSWER_FRAMING.Chunks : ANSWER_FRAMING.Connection;
+		return LAST_CODING_CHUNKED.test(coding) ? RESPONSE_FRAMING.Chunks : RESPONSE_FRAMING.Connection;
 	}
 
-	return headers['content-length'] === undefined ? ANSWER_FRAMING.Connection : ANSWER_FRAMING.Length;
+	return headers['content-length'] === undefined ? RESPONSE_FRAMING.Connection : RESPONSE_FRAMING.Length;
 };
--- a/packages/answer/src/index.ts
+++ b/packages/answer/src/index.ts
@@ -1,7 +1,7 @@
 export type {ResponseDefectValue as AnswerDefectValue} from './response-defect-value.js';
 export type {AnswerFramingValue} from './answer-framing-value.js';
 export {ANSWER_DEFECT} from './answer-defect.js';
-export {ANSWER_FRAMING} from './answer-framing.js';
+export {RESPONSE_FRAMING as ANSWER_FRAMING} from './response-framing.js';
 export {EventSplitter} from './event-splitter.js';
 export {ReceivedAnswer} from './received-answer.js';
 export {getAnswerDefect} from './get-answer-defect.js';
--- a/packages/answer/src/received-answer.ts
+++ b/packages/answer/src/received-answer.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
-import {ANSWER_FRAMING} from './answer-framing.js';
+import {RESPONSE_FRAMING} from './response-framing.js';
 import {EventScanner} from './event-scanner.js';
 import {getAnswerDefect} from './get-answer-defect.js';
 import {getAnswerFraming} from './get-answer-framing.js';
@@ -34,14 +34,14 @@
 		this.#message = message;
 		this.#framing = getAnswerFraming({method, status: statusCode ?? 0, headers});
 		this.#events = isPlainEventStream(headers) ? new EventScanner() : undefined;
-		if (this.#framing === ANSWER_FRAMING.Connection) {
+		if (this.#framing === RESPONSE_FRAMING.Connection) {
 			this.#watchConnection();
 		}
 	}
 
 	/** True if the connection has ended with the response, whether or not the response is complete. */
 	get isConnectionOver(): boolean {
-		return this.#framing === ANSWER_FRAMING.Connection || !this.#message.complete;
+		return this.#framing === RESPONSE_FRAMING.Connection || !this.#message.complete;
 	}
 
 	/** Reads the next bytes of the body. */
--- a/packages/answer/src/answer-framing.ts
+++ b/packages/answer/src/response-framing.ts
@@ -1,5 +1,5 @@
 /** The ways in which the body of an HTTP response can be delimited (RFC 9112, section 6.3). */
-export const ANSWER_FRAMING = {
+export const RESPONSE_FRAMING = {
 	/** The response has no body, whatever its headers say. */
 	Bodyless: 'bodyless',
 	/** The `Content-Length` header gives the length of the body. */
