--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -7,7 +7,7 @@
 import {mutateDispatches} from './mutate-dispatches.js';
 import {mutateRequestEnd} from './mutate-request-end.js';
 import {mutateRequestRefusal} from './mutate-request-refusal.js';
-import {mutateFailure} from './mutate-failure.js';
+import {mutateAttemptFailure} from './mutate-attempt-failure.js';
 import {mutateRequestState} from './mutate-request-state.js';
 import {mutateStopRefusals} from './mutate-stop-refusals.js';
 import {newWants} from './new-wants.js';
@@ -122,7 +122,7 @@
 
 		case 'failed': {
 			const record = getCurrent(state, event.requestId, event.attemptId);
-			return record ? mutateFailure(state, settings, record, event, now) : [];
+			return record ? mutateAttemptFailure(state, settings, record, event, now) : [];
 		}
 
 		case 'tick': {
--- a/packages/admission/src/mutate-failure.ts
+++ b/packages/admission/src/mutate-attempt-failure.ts
@@ -69,7 +69,7 @@
  * Takes the end of an attempt that gave no answer. It is dispatched again only if it did not run or may
  * run twice, nothing of an answer was passed on, and the retry budget allows it.
  */
-export const mutateFailure = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, failure: Failure, now: number): AdmissionEffect[] => {
+export const mutateAttemptFailure = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, failure: Failure, now: number): AdmissionEffect[] => {
 	const isGate = GATE_CODES.has(failure.code);
 	const lane = getLane(state, record.vm);
 	if (!UNANSWERED_CODES.has(failure.code)) {
