--- a/packages/answer/src/index.ts
+++ b/packages/answer/src/index.ts
@@ -4,6 +4,6 @@
 export {RESPONSE_FRAMING as ANSWER_FRAMING} from './response-framing.js';
 export {EventSplitter} from './event-splitter.js';
 export {ReceivedAnswer} from './received-answer.js';
-export {getAnswerDefect} from './get-answer-defect.js';
+export {getResponseDefect as getAnswerDefect} from './get-response-defect.js';
 export {getAnswerFraming} from './get-answer-framing.js';
 export {isEventStream} from './is-event-stream.js';
--- a/packages/answer/src/received-answer.ts
+++ b/packages/answer/src/received-answer.ts
@@ -2,7 +2,7 @@
 import type {IncomingHttpHeaders, IncomingMessage} from 'node:http';
 import {RESPONSE_FRAMING} from './response-framing.js';
 import {EventScanner} from './event-scanner.js';
-import {getAnswerDefect} from './get-answer-defect.js';
+import {getResponseDefect} from './get-response-defect.js';
 import {getAnswerFraming} from './get-answer-framing.js';
 import {isEventStream} from './is-event-stream.js';
 import type {ResponseDefectValue} from './response-defect-value.js';
@@ -51,7 +51,7 @@
 
 	/** Returns the reason why the response is incomplete, or undefined if it is complete. It must be called after all bytes were read. */
 	getDefect(): ResponseDefectValue | undefined {
-		return getAnswerDefect({
+		return getResponseDefect({
 			framing: this.#framing, isComplete: this.#message.complete, isEndedWithData: this.#isEndWithBytes, events: this.#events,
 		});
 	}
