--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -3,7 +3,7 @@
 import {mutateLaneAnswered} from './mutate-lane-answered.js';
 import {mutateArrival} from './mutate-arrival.js';
 import {mutateUnresponsiveLanes} from './mutate-unresponsive-lanes.js';
-import {mutateDeadlines} from './mutate-deadlines.js';
+import {mutateExpiredRequests} from './mutate-expired-requests.js';
 import {mutateDispatches} from './mutate-dispatches.js';
 import {mutateRequestEnd} from './mutate-request-end.js';
 import {mutateRequestRefusal} from './mutate-request-refusal.js';
@@ -139,6 +139,6 @@
 /** Advances an entry's admission by one event at its monotonic time in milliseconds, and returns what must be done. */
 export const mutateAdmission = (state: AdmissionState, settings: AdmissionSettings, event: AdmissionEvent, now: number): AdmissionEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
-	effects.push(...mutateDeadlines(state, settings, now), ...mutateStopRefusals(state), ...mutateDispatches(state, settings, now), ...newWants(state, now));
+	effects.push(...mutateExpiredRequests(state, settings, now), ...mutateStopRefusals(state), ...mutateDispatches(state, settings, now), ...newWants(state, now));
 	return effects;
 };
--- a/packages/admission/src/mutate-deadlines.ts
+++ b/packages/admission/src/mutate-expired-requests.ts
@@ -16,7 +16,7 @@
 };
 
 /** Refuses the requests whose time has run out before their answer began. */
-export const mutateDeadlines = (state: AdmissionState, settings: AdmissionSettings, now: number): AdmissionEffect[] => {
+export const mutateExpiredRequests = (state: AdmissionState, settings: AdmissionSettings, now: number): AdmissionEffect[] => {
 	if (now < state.nextDeadlineAt) {
 		return [];
 	}
