--- a/packages/admission/tests/direct.steps.ts
+++ b/packages/admission/tests/direct.steps.ts
@@ -19,14 +19,14 @@
 		dispatched: Dispatch[];
 		refused: Array<Extract<AdmissionEffect, {kind: 'refuse'}>>;
 		/** What an upstream does with a request as soon as it is sent. */
-		react: (dispatch: Dispatch) => AdmissionEvent | undefined;
+		getReaction: (dispatch: Dispatch) => AdmissionEvent | undefined;
 	};
 };
 
 const TARGET = 'service/s';
 
 /** One request fewer may be sent to an upstream that limits them. */
-const spend = ({direct}: DirectWorld, vm: string): void => {
+const consumeSendLimit = ({direct}: DirectWorld, vm: string): void => {
 	const limit = direct.settings.sendLimits?.get(vm);
 	if (limit) {
 		direct.settings = {...direct.settings, sendLimits: new Map([...direct.settings.sendLimits!, [vm, {...limit, sends: limit.sends - 1}]])};
@@ -40,8 +40,8 @@
 			direct.refused.push(effect);
 		} else if (effect.kind === 'dispatch') {
 			direct.dispatched.push(effect);
-			spend(world, effect.vm);
-			const reaction = direct.react(effect);
+			consumeSendLimit(world, effect.vm);
+			const reaction = direct.getReaction(effect);
 			if (reaction) {
 				take(world, reaction);
 			}
@@ -94,7 +94,7 @@
 		nextId: 0,
 		dispatched: [],
 		refused: [],
-		react: () => undefined,
+		getReaction: () => undefined,
 	};
 	take(this, {kind: 'endpoints', endpoints: new Map([[TARGET, names.split(', ').map(vm => ({vm, dataCentre: 'dc', places}))]])});
 });
@@ -128,7 +128,7 @@
 });
 
 When('{string} refuses connections and {int} requests arrive', function (this: DirectWorld, vm: string, count: number) {
-	this.direct.react = dispatch => dispatch.vm === vm
+	this.direct.getReaction = dispatch => dispatch.vm === vm
 		? newFailure(dispatch, RESULT_CODE.UpstreamUnreachable, OUTCOME.NotRun)
 		: {kind: 'finished', requestId: dispatch.requestId, attemptId: dispatch.attemptId};
 	arriveMany(this, count);
@@ -143,7 +143,7 @@
 });
 
 When('upstreams refuse every request before running it and {int} requests arrive one after the other', function (this: DirectWorld, count: number) {
-	this.direct.react = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamRejected, OUTCOME.NotRun);
+	this.direct.getReaction = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamRejected, OUTCOME.NotRun);
 	for (let index = 0; index < count; index += 1) {
 		arrive(this, {maxAttempts: 2});
 		this.direct.now += 5000;
@@ -160,7 +160,7 @@
 });
 
 When('upstreams fail every request after running it and {int} request that may run {int} times arrives', function (this: DirectWorld, _count: number, runs: number) {
-	this.direct.react = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamFailed, OUTCOME.Unknown);
+	this.direct.getReaction = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamFailed, OUTCOME.Unknown);
 	arrive(this, {maxRuns: runs});
 });
 
--- a/packages/admission/tests/stop-model.ts
+++ b/packages/admission/tests/stop-simulation.ts
@@ -7,7 +7,7 @@
 } from '@valelead/admission';
 
 /** A request of the model. Times in milliseconds. */
-type ModelRequest = {
+type SimulatedRequest = {
 	readonly at: number;
 	readonly isRepeatable: boolean;
 	readonly deadlineMs: number;
@@ -18,17 +18,17 @@
 	readonly target: string;
 };
 
-type ModelDay = {
-	readonly requests: readonly ModelRequest[];
+type Scenario = {
+	readonly requests: readonly SimulatedRequest[];
 	readonly stopAt: number;
 	readonly graceMs: number;
-	readonly places: number;
+	readonly concurrencyLimit: number;
 	/** When each model is loaded. */
 	readonly loadedAt: Readonly<Record<string, number>>;
 };
 
 /** How a request ended: at its upstream, refused, or cut off with the entry. */
-type ModelEnd = {
+type RequestEnd = {
 	readonly kind: 'ended' | 'refused' | 'cut';
 	readonly at: number;
 	readonly code: ResultCodeValue;
@@ -58,18 +58,18 @@
 };
 
 /** Plays the shipped admission in virtual time around a stop signal, up to the moment at which what is in progress is cut off. */
-export class StopModel {
+export class StopSimulation {
 	/** By the position of the request. */
-	readonly ends = new Map<number, ModelEnd[]>();
+	readonly ends = new Map<number, RequestEnd[]>();
 	/** When requests were sent, by position. */
 	readonly sentAt = new Map<number, number[]>();
 	/** When the requests' times are over, by position. */
 	readonly deadlines = new Map<number, number>();
-	readonly #day: ModelDay;
+	readonly #day: Scenario;
 	readonly #state: AdmissionState = newAdmissionState();
 	readonly #runs = new Map<string, Run>();
 
-	constructor(day: ModelDay) {
+	constructor(day: Scenario) {
 		this.#day = day;
 	}
 
@@ -82,7 +82,7 @@
 		return Math.ceil((this.endsAt / STEP_MS) - 1) * STEP_MS;
 	}
 
-	play(): void {
+	run(): void {
 		for (let now = 0; now < this.endsAt; now += STEP_MS) {
 			this.#step(now);
 		}
@@ -120,10 +120,10 @@
 
 	#getEndpoints(now: number): Map<string, Array<{vm: string; dataCentre: string; places: number}>> {
 		const loaded = Object.entries(this.#day.loadedAt).filter(([, at]) => at <= now);
-		return new Map(loaded.map(([target]) => [target, [{vm: 'u', dataCentre: 'dc', places: this.#day.places}]]));
+		return new Map(loaded.map(([target]) => [target, [{vm: 'u', dataCentre: 'dc', places: this.#day.concurrencyLimit}]]));
 	}
 
-	#arrive(index: number, request: ModelRequest, now: number): void {
+	#arrive(index: number, request: SimulatedRequest, now: number): void {
 		this.deadlines.set(index, now + request.deadlineMs);
 		this.#take(newPlainArrival({
 			requestId: String(index),
@@ -197,7 +197,7 @@
 		});
 	}
 
-	#end(id: string, end: ModelEnd): void {
+	#end(id: string, end: RequestEnd): void {
 		const index = Number(id);
 		this.ends.set(index, [...this.ends.get(index) ?? [], end]);
 	}
--- a/packages/admission/tests/stopping.steps.ts
+++ b/packages/admission/tests/stopping.steps.ts
@@ -2,14 +2,14 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {OUTCOME, RESULT_CODE} from '@valelead/common';
-import {StopModel} from './stop-model.js';
+import {StopSimulation} from './stop-simulation.js';
 
-type Day = ConstructorParameters<typeof StopModel>[0];
-type Request = Day['requests'][number];
+type Scenario = ConstructorParameters<typeof StopSimulation>[0];
+type Request = Scenario['requests'][number];
 
 type StoppingWorld = {
 	/** Days that were played, each from its first request to the end of the entry. */
-	played: Array<{readonly day: Day; readonly model: StopModel}>;
+	simulated: Array<{readonly day: Scenario; readonly model: StopSimulation}>;
 	graceMs: number;
 };
 
@@ -27,7 +27,7 @@
 	target: fc.constantFrom('common', 'rare'),
 });
 
-const DAY = fc.record({
+const SCENARIO = fc.record({
 	requests: fc.array(REQUEST, {minLength: 1, maxLength: 40}),
 	stopAt: fc.integer({min: 0, max: 10_000}),
 	graceMs: fc.constantFrom(2000, 7750, 29_750),
@@ -39,28 +39,28 @@
 	at: 0, isRepeatable: true, deadlineMs: 15_000, runMs: 1000, isBreaking: false, target: 'common', ...changes,
 });
 
-const play = (day: Day): {readonly day: Day; readonly model: StopModel} => {
-	const model = new StopModel(day);
-	model.play();
+const simulate = (day: Scenario): {readonly day: Scenario; readonly model: StopSimulation} => {
+	const model = new StopSimulation(day);
+	model.run();
 	return {day, model};
 };
 
-const playAlone = (world: StoppingWorld, requests: readonly Request[]): void => {
-	world.played = [play({
-		requests, stopAt: STOP_AT_MS, graceMs: world.graceMs, places: 8, loadedAt: {common: 0},
+const simulateRequests = (world: StoppingWorld, requests: readonly Request[]): void => {
+	world.simulated = [simulate({
+		requests, stopAt: STOP_AT_MS, graceMs: world.graceMs, concurrencyLimit: 8, loadedAt: {common: 0},
 	})];
 };
 
-const getEndKinds = (model: StopModel): string[] => [...model.ends.entries()]
+const getEndKinds = (model: StopSimulation): string[] => [...model.ends.entries()]
 	.toSorted(([left], [right]) => left - right)
 	.map(([, [end]]) => end.kind);
 
 When('random requests, paces, failures and loads of models are played around a stop signal', function (this: StoppingWorld) {
-	this.played = fc.sample(DAY, {numRuns: RUNS, seed: SEED}).map(day => play(day));
+	this.simulated = fc.sample(SCENARIO, {numRuns: RUNS, seed: SEED}).map(day => simulate(day));
 });
 
 Then('no request that was first sent after the signal was cut off', function (this: StoppingWorld) {
-	for (const {day, model} of this.played) {
+	for (const {day, model} of this.simulated) {
 		const cut = [...model.ends.entries()].filter(([, [end]]) => end.kind === 'cut').map(([index]) => index);
 		const late = cut.filter(index => model.sentAt.get(index)![0] > day.stopAt);
 		assert.deepEqual(late.map(index => day.requests[index]), []);
@@ -68,7 +68,7 @@
 });
 
 Then('no request waited until the entry\'s end', function (this: StoppingWorld) {
-	for (const {model} of this.played) {
+	for (const {model} of this.simulated) {
 		// A deadline after the last step passes with the entry's end.
 		const waiting = [...model.ends.entries()]
 			.filter(([index, [end]]) => end.at === model.endsAt && !model.sentAt.has(index) && model.deadlines.get(index)! <= model.lastStepAt);
@@ -77,7 +77,7 @@
 });
 
 Then('every request has one end, and those that the entry turned away did not run', function (this: StoppingWorld) {
-	for (const {day, model} of this.played) {
+	for (const {day, model} of this.simulated) {
 		const arrived = day.requests.filter(({at}) => at <= model.lastStepAt).length;
 		assert.equal(model.ends.size, arrived);
 		for (const [index, ends] of model.ends) {
@@ -94,21 +94,21 @@
 });
 
 When('requests with a deadline of {int} ms arrive 0, 4000, 5000 and 5500 ms after the signal', function (this: StoppingWorld, deadlineMs: number) {
-	playAlone(this, [0, 4000, 5000, 5500].map(ms => newRequest({at: STOP_AT_MS + ms, deadlineMs})));
+	simulateRequests(this, [0, 4000, 5000, 5500].map(ms => newRequest({at: STOP_AT_MS + ms, deadlineMs})));
 });
 
 Then('those of 0, 4000 and 5000 ms were sent and the last one was refused', function (this: StoppingWorld) {
-	assert.deepEqual(getEndKinds(this.played[0].model), ['ended', 'ended', 'ended', 'refused']);
+	assert.deepEqual(getEndKinds(this.simulated[0].model), ['ended', 'ended', 'ended', 'refused']);
 });
 
 When('a repeatable request with a deadline of {int} ms is sent {int} ms before the signal and breaks after it', function (this: StoppingWorld, deadlineMs: number, beforeMs: number) {
-	playAlone(this, [newRequest({
+	simulateRequests(this, [newRequest({
 		at: STOP_AT_MS - beforeMs, deadlineMs, runMs: 4 * beforeMs, isBreaking: true,
 	})]);
 });
 
 Then('it was sent twice and ended', function (this: StoppingWorld) {
-	const [{model}] = this.played;
+	const [{model}] = this.simulated;
 	assert.equal(model.sentAt.get(0)?.length, 2);
 	assert.deepEqual(getEndKinds(model), ['ended']);
 });
