--- a/apps/valelead-daemon/tests/answer-ends.steps.ts
+++ b/apps/valelead-daemon/tests/answer-ends.steps.ts
@@ -187,8 +187,8 @@
 	return cuts;
 };
 
-const send = async (answer: Response): Promise<SentEnd> => {
-	const source = new ResponseSource(answer);
+const send = async (response: Response): Promise<SentEnd> => {
+	const source = new ResponseSource(response);
 	const agent = new UpstreamAgent(1);
 	const port = await source.listen();
 	const end = await new Promise<SentEnd>(resolve => {
--- a/apps/valelead-daemon/tests/response-source.ts
+++ b/apps/valelead-daemon/tests/response-source.ts
@@ -23,15 +23,15 @@
 		this.#sockets.add(socket);
 		socket.on('error', () => undefined);
 		socket.once('data', () => {
-			this.#answer(socket);
+			this.#respond(socket);
 		});
 	});
 
 	readonly #sockets = new Set<Socket>();
 	readonly #sent: SourceResponse;
 
-	constructor(answer: SourceResponse) {
-		this.#sent = answer;
+	constructor(response: SourceResponse) {
+		this.#sent = response;
 	}
 
 	async listen(): Promise<number> {
@@ -47,7 +47,7 @@
 		}
 	}
 
-	#answer(socket: Socket): void {
+	#respond(socket: Socket): void {
 		const {bytes, laterBytes} = this.#sent;
 		socket.write(Buffer.from(bytes));
 		if (laterBytes === undefined) {
--- a/packages/answer/src/event-scanner.ts
+++ b/packages/answer/src/event-scanner.ts
@@ -43,7 +43,7 @@
 	scan(chunk: Buffer): number {
 		let end = 0;
 		for (const [index, byte] of chunk.entries()) {
-			if (this.#takeByte(byte)) {
+			if (this.#scanByte(byte)) {
 				end = index + 1;
 			}
 		}
@@ -52,15 +52,15 @@
 	}
 
 	/** @returns True if this byte ends a blank line. */
-	#takeByte(byte: number): boolean {
-		if (this.#takeMark(byte)) {
+	#scanByte(byte: number): boolean {
+		if (this.#scanMark(byte)) {
 			return false;
 		}
 
 		const isSecondHalf = byte === LINE_FEED && this.#isAfterReturn;
 		this.#isAfterReturn = byte === CARRIAGE_RETURN;
 		if (isSecondHalf) {
-			// A line feed after the carriage return of a blank line still belongs to the event, so that it is passed on with it.
+			// Callers may wait for the line feed that follows the carriage return of a blank line, so it is passed on with the event.
 			return this.#isAfterBlank;
 		}
 
@@ -78,7 +78,7 @@
 	}
 
 	/** @returns True if the byte may belong to a byte order mark at the beginning of the stream. */
-	#takeMark(byte: number): boolean {
+	#scanMark(byte: number): boolean {
 		if (this.#markLength === undefined) {
 			return false;
 		}
--- a/packages/answer/src/event-splitter.ts
+++ b/packages/answer/src/event-splitter.ts
@@ -17,7 +17,7 @@
 export class EventSplitter {
 	readonly #scanner = new EventScanner();
 	/** True if a byte order mark may still arrive that must be removed. */
-	#isMarkDue: boolean;
+	#isMarkExpected: boolean;
 	#rest: Buffer = Buffer.alloc(0);
 
 	/**
@@ -25,7 +25,7 @@
 	 * the middle of the stream it would be read as part of a field name.
 	 */
 	constructor(isContinuation = false) {
-		this.#isMarkDue = isContinuation;
+		this.#isMarkExpected = isContinuation;
 	}
 
 	/** Adds the next chunk and returns the events that are complete with it. */
@@ -37,7 +37,7 @@
 		}
 
 		const complete = this.#withoutMark(Buffer.concat([this.#rest, chunk.subarray(0, end)]));
-		this.#isMarkDue = false;
+		this.#isMarkExpected = false;
 		this.#rest = chunk.subarray(end);
 		return {bytes: complete, lastEventId: this.#getLastId(complete)};
 	}
@@ -48,12 +48,12 @@
 	}
 
 	#withoutMark(bytes: Buffer): Buffer {
-		return this.#isMarkDue && bytes.subarray(0, BYTE_ORDER_MARK.length).equals(BYTE_ORDER_MARK) ? bytes.subarray(BYTE_ORDER_MARK.length) : bytes;
+		return this.#isMarkExpected && bytes.subarray(0, BYTE_ORDER_MARK.length).equals(BYTE_ORDER_MARK) ? bytes.subarray(BYTE_ORDER_MARK.length) : bytes;
 	}
 
-	#getLastId(whole: Buffer): string | undefined {
+	#getLastId(complete: Buffer): string | undefined {
 		let last: string | undefined;
-		for (const match of whole.toString('latin1').matchAll(ID_LINE)) {
+		for (const match of complete.toString('latin1').matchAll(ID_LINE)) {
 			last = match.groups?.id;
 		}
 
--- a/packages/answer/src/get-response-defect.ts
+++ b/packages/answer/src/get-response-defect.ts
@@ -18,13 +18,13 @@
  * Returns the reason why an ended response is incomplete, or undefined if it is complete. A response that is delimited only by the end of its
  * connection, is not an event stream and whose connection closed without a reset is accepted as complete, as nothing shows otherwise.
  */
-export const getResponseDefect = ({framing, isComplete, isEndedWithData: isEndWithBytes, events}: EndedResponse): ResponseDefectValue | undefined => {
+export const getResponseDefect = ({framing, isComplete, isEndedWithData, events}: EndedResponse): ResponseDefectValue | undefined => {
 	if (!isComplete) {
 		return ANSWER_DEFECT.Incomplete;
 	}
 
 	const isEndedByConnection = framing === RESPONSE_FRAMING.Connection;
-	if (isEndedByConnection && isEndWithBytes) {
+	if (isEndedByConnection && isEndedWithData) {
 		return ANSWER_DEFECT.Reset;
 	}
 
--- a/packages/answer/src/received-answer.ts
+++ b/packages/answer/src/received-answer.ts
@@ -25,8 +25,8 @@
 	readonly #framing: AnswerFramingValue;
 	readonly #events: EventScanner | undefined;
 	/** True if bytes arrived in the current event-loop iteration. */
-	#isFresh = false;
-	#isEndWithBytes = false;
+	#hasNewData = false;
+	#isEndedWithData = false;
 
 	/** @param method - The HTTP method of the request. */
 	constructor(message: IncomingMessage, method: string) {
@@ -52,26 +52,26 @@
 	/** Returns the reason why the response is incomplete, or undefined if it is complete. It must be called after all bytes were read. */
 	getDefect(): ResponseDefectValue | undefined {
 		return getResponseDefect({
-			framing: this.#framing, isComplete: this.#message.complete, isEndedWithData: this.#isEndWithBytes, events: this.#events,
+			framing: this.#framing, isComplete: this.#message.complete, isEndedWithData: this.#isEndedWithData, events: this.#events,
 		});
 	}
 
 	#watchConnection(): void {
 		const {socket} = this.#message;
-		this.#noteFresh();
+		this.#noteNewData();
 		socket.on('data', () => {
-			this.#noteFresh();
+			this.#noteNewData();
 		});
 		// This listener must run before that of Node's HTTP client, which ends the response.
 		socket.prependOnceListener('end', () => {
-			this.#isEndWithBytes = this.#isFresh;
+			this.#isEndedWithData = this.#hasNewData;
 		});
 	}
 
-	#noteFresh(): void {
-		this.#isFresh = true;
+	#noteNewData(): void {
+		this.#hasNewData = true;
 		setImmediate(() => {
-			this.#isFresh = false;
+			this.#hasNewData = false;
 		});
 	}
 }
--- a/packages/routing/src/caller-limits.ts
+++ b/packages/routing/src/caller-limits.ts
@@ -1,4 +1,4 @@
-/** The limits on the size of a caller's request and on the time it takes to send it. Times in milliseconds. */
+/** The limits on the size of a caller's request, and the timeouts of its connection. Times in milliseconds. */
 export type CallerLimits = {
 	readonly maxHeaderBytes: number;
 	readonly maxBodyBytes: number;
--- a/packages/routing/src/get-rank.ts
+++ b/packages/routing/src/get-rank.ts
@@ -4,7 +4,7 @@
 import type {Team} from './team.js';
 
 /**
- * Returns the priority rank of a request, from 0 for the most urgent to `LEAST_URGENT`. Requests are ranked by their team's priority, then
+ * Returns the priority rank of a request, from 0 for the most urgent to 9 for the least urgent. Requests are ranked by their team's priority, then
  * by their route's. If the routing configuration has no teams, the rank is the route's priority.
  */
 export const getRank = ({routing, priorities}: RouteTable, route: Route, team: Team | undefined): number => {
