--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -10,7 +10,7 @@
 import {mutateAttemptFailure} from './mutate-attempt-failure.js';
 import {mutateRequestState} from './mutate-request-state.js';
 import {mutateStopRefusals} from './mutate-stop-refusals.js';
-import {newWants} from './new-wants.js';
+import {newCreditRequests} from './new-credit-requests.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionEvent} from './admission-event.js';
 import type {AdmissionSettings} from './admission-settings.js';
@@ -139,6 +139,6 @@
 /** Advances an entry's admission by one event at its monotonic time in milliseconds, and returns what must be done. */
 export const mutateAdmission = (state: AdmissionState, settings: AdmissionSettings, event: AdmissionEvent, now: number): AdmissionEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
-	effects.push(...mutateExpiredRequests(state, settings, now), ...mutateStopRefusals(state), ...mutateDispatches(state, settings, now), ...newWants(state, now));
+	effects.push(...mutateExpiredRequests(state, settings, now), ...mutateStopRefusals(state), ...mutateDispatches(state, settings, now), ...newCreditRequests(state, now));
 	return effects;
 };
--- a/packages/admission/src/new-wants.ts
+++ b/packages/admission/src/new-credit-requests.ts
@@ -6,7 +6,7 @@
 const WARM_LANE_MS = 10_000;
 
 /** Tells the agents how many requests wait for them, where that changed. */
-export const newWants = (state: AdmissionState, now: number): AdmissionEffect[] => {
+export const newCreditRequests = (state: AdmissionState, now: number): AdmissionEffect[] => {
 	const wanted = new Map<string, number>();
 	for (const [target, queue] of state.queues) {
 		for (const endpoint of state.endpoints.get(target) ?? []) {
