--- a/packages/admission/src/get-limited-wait-ms.ts
+++ b/packages/admission/src/get-rate-limited-wait-ms.ts
@@ -10,7 +10,7 @@
  * The least time after which a request that joins a target's queue now can be sent, in milliseconds, where all upstreams of the target limit the requests
  * that they take; 0 where one does not. Other entries' requests are not counted.
  */
-export const getLimitedWaitMs = (state: AdmissionState, {sendLimits}: AdmissionSettings, target: string): number => {
+export const getRateLimitedWaitMs = (state: AdmissionState, {sendLimits}: AdmissionSettings, target: string): number => {
 	const limits = (state.endpoints.get(target) ?? []).map(({vm}) => sendLimits?.get(vm));
 	let perSecond = 0;
 	let sends = 0;
--- a/packages/admission/src/mutate-arrival.ts
+++ b/packages/admission/src/mutate-arrival.ts
@@ -1,6 +1,6 @@
 import {OUTCOME, RESULT_CODE, type ResultCodeValue} from '@valelead/common';
 import {mutateRetryTokens} from './mutate-retry-tokens.js';
-import {getLimitedWaitMs} from './get-limited-wait-ms.js';
+import {getRateLimitedWaitMs} from './get-rate-limited-wait-ms.js';
 import {getRetryAfterMs} from './get-retry-after-ms.js';
 import {getTeamUsage} from './get-team-usage.js';
 import {getWaitMs} from './get-wait-ms.js';
@@ -22,7 +22,7 @@
 	}
 
 	const isServed = (state.endpoints.get(ticket.target)?.length ?? 0) > 0;
-	const waitMs = Math.max(getWaitMs(state, ticket.target), getLimitedWaitMs(state, settings, ticket.target));
+	const waitMs = Math.max(getWaitMs(state, ticket.target), getRateLimitedWaitMs(state, settings, ticket.target));
 	return isServed && waitMs > ticket.deadlineAt - now ? RESULT_CODE.WaitTooLong : undefined;
 };
 
@@ -32,7 +32,7 @@
 	const code = getRefusalCode(state, settings, ticket, limits, now);
 	if (code !== undefined) {
 		return [{
-			kind: 'refuse', requestId: ticket.requestId, code, outcome: OUTCOME.NotRun, retryAfterMs: Math.max(getRetryAfterMs(state, ticket.target), getLimitedWaitMs(state, settings, ticket.target)),
+			kind: 'refuse', requestId: ticket.requestId, code, outcome: OUTCOME.NotRun, retryAfterMs: Math.max(getRetryAfterMs(state, ticket.target), getRateLimitedWaitMs(state, settings, ticket.target)),
 		}];
 	}
 
