--- a/packages/admission/src/get-wait-ms.ts
+++ b/packages/admission/src/get-queue-wait-ms.ts
@@ -4,7 +4,7 @@
 const LEAST_SAMPLES = 8;
 
 /** The expected wait of a request that joins a target's queue now, in milliseconds; 0 where nothing is known. */
-export const getWaitMs = (state: AdmissionState, target: string): number => {
+export const getQueueWaitMs = (state: AdmissionState, target: string): number => {
 	const speed = state.speeds.get(target);
 	if (!speed || speed.samples < LEAST_SAMPLES) {
 		return 0;
--- a/packages/admission/src/mutate-arrival.ts
+++ b/packages/admission/src/mutate-arrival.ts
@@ -3,7 +3,7 @@
 import {getRateLimitedWaitMs} from './get-rate-limited-wait-ms.js';
 import {getRetryAfterMs} from './get-retry-after-ms.js';
 import {getTeamUsage} from './get-team-usage.js';
-import {getWaitMs} from './get-wait-ms.js';
+import {getQueueWaitMs} from './get-queue-wait-ms.js';
 import {mutateEnqueued} from './mutate-enqueued.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionSettings} from './admission-settings.js';
@@ -22,7 +22,7 @@
 	}
 
 	const isServed = (state.endpoints.get(ticket.target)?.length ?? 0) > 0;
-	const waitMs = Math.max(getWaitMs(state, ticket.target), getRateLimitedWaitMs(state, settings, ticket.target));
+	const waitMs = Math.max(getQueueWaitMs(state, ticket.target), getRateLimitedWaitMs(state, settings, ticket.target));
 	return isServed && waitMs > ticket.deadlineAt - now ? RESULT_CODE.WaitTooLong : undefined;
 };
 
