--- a/packages/admission/src/admission-state.ts
+++ b/packages/admission/src/admission-state.ts
@@ -2,7 +2,7 @@
 import type {AdmissionLane} from './admission-lane.js';
 import type {RequestRecord} from './request-record.js';
 import type {RetryBudget} from './retry-budget.js';
-import type {TargetSpeed} from './target-speed.js';
+import type {DispatchInterval} from './dispatch-interval.js';
 import type {TeamUsage} from './team-usage.js';
 
 /** The state of an entry's queues. */
@@ -14,7 +14,7 @@
 	readonly classWaiting: Map<string, number>;
 	readonly lanes: Map<string, AdmissionLane>;
 	endpoints: ReadonlyMap<string, readonly AdmissionEndpoint[]>;
-	readonly speeds: Map<string, TargetSpeed>;
+	readonly dispatchIntervals: Map<string, DispatchInterval>;
 	/** Arrivals by target since they were last reported. */
 	readonly arrivals: Map<string, number>;
 	/** When what is still in progress is broken off; undefined until the entry is told to stop. */
--- a/packages/admission/src/target-speed.ts
+++ b/packages/admission/src/dispatch-interval.ts
@@ -1,7 +1,7 @@
 /** How fast a target's queue moved lately. */
-export type TargetSpeed = {
+export type DispatchInterval = {
 	/** Running mean of the time between dispatches while requests waited, in milliseconds; 0 until measured. */
-	intervalMs: number;
+	meanMs: number;
 	samples: number;
 	lastDispatchAt: number;
 };
--- a/packages/admission/src/mutate-dispatches.ts
+++ b/packages/admission/src/mutate-dispatches.ts
@@ -13,16 +13,16 @@
 const SPEED_SHARE = 0.2;
 
 const mutateSpeed = (state: AdmissionState, target: string, now: number): void => {
-	const speed = state.speeds.get(target) ?? {intervalMs: 0, samples: 0, lastDispatchAt: now};
+	const speed = state.dispatchIntervals.get(target) ?? {meanMs: 0, samples: 0, lastDispatchAt: now};
 	const isBacklogged = (state.queues.get(target)?.length ?? 0) > 0;
 	const interval = now - speed.lastDispatchAt;
 	if (isBacklogged && speed.samples > 0) {
-		speed.intervalMs += (interval - speed.intervalMs) * SPEED_SHARE;
+		speed.meanMs += (interval - speed.meanMs) * SPEED_SHARE;
 	}
 
 	speed.samples = isBacklogged ? speed.samples + 1 : 0;
 	speed.lastDispatchAt = now;
-	state.speeds.set(target, speed);
+	state.dispatchIntervals.set(target, speed);
 };
 
 const mutateUsage = (state: AdmissionState, record: RequestRecord): void => {
--- a/packages/admission/src/new-admission-state.ts
+++ b/packages/admission/src/new-admission-state.ts
@@ -12,7 +12,7 @@
 	classWaiting: new Map(),
 	lanes: new Map(),
 	endpoints: new Map(),
-	speeds: new Map(),
+	dispatchIntervals: new Map(),
 	endsAt: undefined,
 	arrivals: new Map(),
 	retryBudgets: new Map(),
