--- a/packages/admission/src/admission-state.ts
+++ b/packages/admission/src/admission-state.ts
@@ -20,7 +20,7 @@
 	/** When what is still in progress is broken off; undefined until the entry is told to stop. */
 	endsAt: number | undefined;
 	/** The least time after which a refused caller is asked back, in milliseconds. */
-	readonly leastRetryAfterMs: number;
+	readonly minRetryAfterMs: number;
 	/** By name. */
 	readonly retryBudgets: Map<string, RetryBudget>;
 	/** The service that the least served waiting team has received. */
--- a/packages/admission/src/get-best-lane.ts
+++ b/packages/admission/src/get-best-lane.ts
@@ -12,19 +12,19 @@
 };
 
 /** Requests in progress that outweigh an upstream in another data centre. */
-const FAR_PENALTY = 2;
+const REMOTE_PENALTY = 2;
 
 /** Requests in progress that outweigh an upstream that answers nothing. */
-const SILENCE_PENALTY = 100;
+const UNANSWERED_PENALTY = 100;
 
 /** Requests in progress that outweigh one recent failure. */
 const FAILURE_PENALTY = 4;
 
-const hasPlace = (lane: AdmissionLane, endpoint: AdmissionEndpoint): boolean => endpoint.places === undefined ? lane.credits.length > 0 : lane.inProgress < endpoint.places;
+const hasCapacity = (lane: AdmissionLane, endpoint: AdmissionEndpoint): boolean => endpoint.places === undefined ? lane.credits.length > 0 : lane.inProgress < endpoint.places;
 
 const isUsable = (lane: AdmissionLane, endpoint: AdmissionEndpoint, target: string, now: number): boolean => {
 	const isProbing = lane.ejections > 0 && lane.inProgress > 0;
-	return hasPlace(lane, endpoint) && now >= lane.ejectedUntil && !isProbing && now >= (lane.avoided.get(target) ?? 0);
+	return hasCapacity(lane, endpoint) && now >= lane.ejectedUntil && !isProbing && now >= (lane.avoided.get(target) ?? 0);
 };
 
 const isUnanswered = (lane: AdmissionLane, settings: AdmissionSettings, now: number): boolean => {
@@ -33,9 +33,9 @@
 };
 
 const getScore = (lane: AdmissionLane, endpoint: AdmissionEndpoint, settings: AdmissionSettings, now: number): number => {
-	const farPenalty = endpoint.dataCentre === settings.dataCentre ? 0 : FAR_PENALTY;
-	const silencePenalty = isUnanswered(lane, settings, now) ? SILENCE_PENALTY : 0;
-	return lane.inProgress + (endpoint.othersInProgress ?? 0) + farPenalty + silencePenalty + (lane.failures * FAILURE_PENALTY);
+	const remotePenalty = endpoint.dataCentre === settings.dataCentre ? 0 : REMOTE_PENALTY;
+	const unansweredPenalty = isUnanswered(lane, settings, now) ? UNANSWERED_PENALTY : 0;
+	return lane.inProgress + (endpoint.othersInProgress ?? 0) + remotePenalty + unansweredPenalty + (lane.failures * FAILURE_PENALTY);
 };
 
 /**
@@ -47,8 +47,8 @@
 	let bestScore = Number.POSITIVE_INFINITY;
 	for (const endpoint of state.endpoints.get(target) ?? []) {
 		const lane = endpoint.places === undefined ? state.lanes.get(endpoint.vm) : getLane(state, endpoint.vm);
-		const isSpent = (sendsLeft.get(endpoint.vm) ?? 1) < 1;
-		if (!lane || isSpent || !isUsable(lane, endpoint, target, now)) {
+		const isLimitReached = (sendsLeft.get(endpoint.vm) ?? 1) < 1;
+		if (!lane || isLimitReached || !isUsable(lane, endpoint, target, now)) {
 			continue;
 		}
 
--- a/packages/admission/src/get-next-request.ts
+++ b/packages/admission/src/get-next-request.ts
@@ -2,21 +2,21 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-type Order = {
+type SortKey = {
 	readonly rank: number;
 	readonly virtualTime: number;
 	readonly classWeight: number;
 	readonly deadlineAt: number;
 };
 
-const getOrder = (state: AdmissionState, record: RequestRecord): Order => ({
-	rank: record.ticket.rank ?? 0,
-	virtualTime: getTeamUsage(state, record.ticket.team).virtualTime,
-	classWeight: record.ticket.classWeight,
-	deadlineAt: record.ticket.deadlineAt,
+const getSortKey = (state: AdmissionState, record: RequestRecord): SortKey => ({
+	rank: record.request.rank ?? 0,
+	virtualTime: getTeamUsage(state, record.request.team).virtualTime,
+	classWeight: record.request.classWeight,
+	deadlineAt: record.request.deadlineAt,
 });
 
-const isBefore = (left: Order, right: Order): boolean => {
+const isBefore = (left: SortKey, right: SortKey): boolean => {
 	if (left.rank !== right.rank) {
 		return left.rank < right.rank;
 	}
@@ -39,7 +39,7 @@
 export const getNextRequest = (state: AdmissionState, target: string, isAllowed: (record: RequestRecord) => boolean): RequestRecord | undefined => {
 	let best: RequestRecord | undefined;
 	for (const record of state.queues.get(target) ?? []) {
-		const isBetter = !best || isBefore(getOrder(state, record), getOrder(state, best));
+		const isBetter = !best || isBefore(getSortKey(state, record), getSortKey(state, best));
 		if (isBetter && isAllowed(record)) {
 			best = record;
 		}
--- a/packages/admission/src/get-rate-limited-wait-ms.ts
+++ b/packages/admission/src/get-rate-limited-wait-ms.ts
@@ -4,7 +4,7 @@
 const MS_PER_SECOND = 1000;
 
 /** No longer wait is told, in milliseconds: a limit may be 0, and may end at any time. */
-const MOST_WAIT_MS = 60_000;
+const MAX_WAIT_MS = 60_000;
 
 /**
  * The least time after which a request that joins a target's queue now can be sent, in milliseconds, where all upstreams of the target limit the requests
@@ -24,5 +24,5 @@
 	}
 
 	const ahead = (state.queues.get(target)?.length ?? 0) + 1 - sends;
-	return limits.length === 0 || ahead <= 0 ? 0 : Math.min(MOST_WAIT_MS, ahead * MS_PER_SECOND / perSecond);
+	return limits.length === 0 || ahead <= 0 ? 0 : Math.min(MAX_WAIT_MS, ahead * MS_PER_SECOND / perSecond);
 };
--- a/packages/admission/src/get-retry-budget.ts
+++ b/packages/admission/src/get-retry-budget.ts
@@ -7,9 +7,9 @@
 const INITIAL_TOKENS = 1;
 
 /** The retry budget of a request now. */
-export const getRetryBudget = (state: AdmissionState, settings: AdmissionSettings, ticket: Ticket, now: number): RetryBudget => {
+export const getRetryBudget = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, now: number): RetryBudget => {
 	const opensAt = settings.initialRetriesAt ?? Number.NEGATIVE_INFINITY;
-	const known = state.retryBudgets.get(ticket.budget ?? '');
+	const known = state.retryBudgets.get(request.budget ?? '');
 	const budget = known?.opensAt === opensAt
 		? known
 		: {
--- a/packages/admission/src/mutate-arrival.ts
+++ b/packages/admission/src/mutate-arrival.ts
@@ -11,36 +11,36 @@
 import type {Ticket} from './ticket.js';
 import type {TicketLimits} from './ticket-limits.js';
 
-const getRefusalCode = (state: AdmissionState, settings: AdmissionSettings, ticket: Ticket, limits: TicketLimits, now: number): ResultCodeValue | undefined => {
-	const usage = getTeamUsage(state, ticket.team);
+const getRefusalCode = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: TicketLimits, now: number): ResultCodeValue | undefined => {
+	const usage = getTeamUsage(state, request.team);
 	if (usage.waiting >= limits.teamWaiting || usage.inProgress + usage.waiting >= limits.teamInProgress + limits.teamWaiting) {
 		return RESULT_CODE.TeamLimit;
 	}
 
-	if ((state.classWaiting.get(ticket.className) ?? 0) >= limits.classWaiting) {
+	if ((state.classWaiting.get(request.className) ?? 0) >= limits.classWaiting) {
 		return RESULT_CODE.QueueFull;
 	}
 
-	const isServed = (state.endpoints.get(ticket.target)?.length ?? 0) > 0;
-	const waitMs = Math.max(getQueueWaitMs(state, ticket.target), getRateLimitedWaitMs(state, settings, ticket.target));
-	return isServed && waitMs > ticket.deadlineAt - now ? RESULT_CODE.WaitTooLong : undefined;
+	const isServed = (state.endpoints.get(request.target)?.length ?? 0) > 0;
+	const waitMs = Math.max(getQueueWaitMs(state, request.target), getRateLimitedWaitMs(state, settings, request.target));
+	return isServed && waitMs > request.deadlineAt - now ? RESULT_CODE.WaitTooLong : undefined;
 };
 
 /** Queues a request, or refuses it at once if a limit is reached or its wait cannot be met. */
-export const mutateArrival = (state: AdmissionState, settings: AdmissionSettings, ticket: Ticket, limits: TicketLimits, now: number): AdmissionEffect[] => {
-	state.arrivals.set(ticket.target, (state.arrivals.get(ticket.target) ?? 0) + 1);
-	const code = getRefusalCode(state, settings, ticket, limits, now);
+export const mutateArrival = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: TicketLimits, now: number): AdmissionEffect[] => {
+	state.arrivals.set(request.target, (state.arrivals.get(request.target) ?? 0) + 1);
+	const code = getRefusalCode(state, settings, request, limits, now);
 	if (code !== undefined) {
 		return [{
-			kind: 'refuse', requestId: ticket.requestId, code, outcome: OUTCOME.NotRun, retryAfterMs: Math.max(getRetryAfterMs(state, ticket.target), getRateLimitedWaitMs(state, settings, ticket.target)),
+			kind: 'refuse', requestId: request.requestId, code, outcome: OUTCOME.NotRun, retryAfterMs: Math.max(getRetryAfterMs(state, request.target), getRateLimitedWaitMs(state, settings, request.target)),
 		}];
 	}
 
-	mutateRetryTokens(state, settings, ticket, settings.retryShare, now);
+	mutateRetryTokens(state, settings, request, settings.retryShare, now);
 	const record = {
-		ticket, limits, state: 'waiting', attempts: 0, attemptId: '', vm: '', runs: 0, dispatchedAt: 0,
+		request, limits, state: 'waiting', attempts: 0, attemptId: '', vm: '', runs: 0, dispatchedAt: 0,
 	};
-	state.requests.set(ticket.requestId, record);
+	state.requests.set(request.requestId, record);
 	mutateEnqueued(state, record);
 	return [];
 };
--- a/packages/admission/src/mutate-attempt-failure.ts
+++ b/packages/admission/src/mutate-attempt-failure.ts
@@ -25,7 +25,7 @@
 type RetryEffect = Extract<AdmissionEffect, {kind: 'retry'}>;
 
 /** Codes that say something of the agent's present state, not of its health. */
-const GATE_CODES: ReadonlySet<ResultCodeValue> = new Set([
+const NOT_ACCEPTING_CODES: ReadonlySet<ResultCodeValue> = new Set([
 	RESULT_CODE.CreditExpired,
 	RESULT_CODE.UnitNotReady,
 	RESULT_CODE.Draining,
@@ -38,30 +38,30 @@
 
 /** A request that reached no upstream costs nothing; one that was refused costs where the settings say so. */
 const getRetryCost = (settings: AdmissionSettings, code: ResultCodeValue): number => {
-	const isFree = code === RESULT_CODE.UpstreamUnreachable || (GATE_CODES.has(code) && !settings.isRefusalBudgeted);
+	const isFree = code === RESULT_CODE.UpstreamUnreachable || (NOT_ACCEPTING_CODES.has(code) && !settings.isRefusalBudgeted);
 	return isFree ? 0 : 1;
 };
 
 /** Whether a request may be sent again, the retry budget apart. */
 const isRetryable = (settings: AdmissionSettings, record: RequestRecord, failure: Failure): boolean => {
-	const isSafe = failure.outcome === OUTCOME.NotRun || record.ticket.isRepeatable;
+	const isSafe = failure.outcome === OUTCOME.NotRun || record.request.isRepeatable;
 	const runs = record.runs + (failure.outcome === OUTCOME.NotRun ? 0 : 1);
-	const hasRuns = runs === 0 || runs < (record.ticket.maxRuns ?? Number.POSITIVE_INFINITY);
-	const isOpen = record.state === 'sent' || record.ticket.isResumable === true;
-	const hasAttempts = record.attempts < (record.ticket.maxAttempts ?? settings.maxAttempts);
+	const hasRuns = runs === 0 || runs < (record.request.maxRuns ?? Number.POSITIVE_INFINITY);
+	const isOpen = record.state === 'sent' || record.request.isResumable === true;
+	const hasAttempts = record.attempts < (record.request.maxAttempts ?? settings.maxAttempts);
 	return failure.isLast !== true && isSafe && isOpen && hasRuns && hasAttempts;
 };
 
 /** Charges one more dispatch of a request to its retry budget, if that has enough. */
-const mutateCharged = (state: AdmissionState, settings: AdmissionSettings, {ticket}: RequestRecord, cost: number, now: number): RetryEffect => {
-	const {tokens} = getRetryBudget(state, settings, ticket, now);
+const mutateCharge = (state: AdmissionState, settings: AdmissionSettings, {request}: RequestRecord, cost: number, now: number): RetryEffect => {
+	const {tokens} = getRetryBudget(state, settings, request, now);
 	const isAllowed = cost <= tokens;
 	if (isAllowed) {
-		mutateRetryTokens(state, settings, ticket, -cost, now);
+		mutateRetryTokens(state, settings, request, -cost, now);
 	}
 
 	return {
-		kind: 'retry', requestId: ticket.requestId, isAllowed, left: isAllowed ? tokens - cost : tokens,
+		kind: 'retry', requestId: request.requestId, isAllowed, left: isAllowed ? tokens - cost : tokens,
 	};
 };
 
@@ -70,23 +70,23 @@
  * run twice, nothing of an answer was passed on, and the retry budget allows it.
  */
 export const mutateAttemptFailure = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, failure: Failure, now: number): AdmissionEffect[] => {
-	const isGate = GATE_CODES.has(failure.code);
+	const isNotAccepting = NOT_ACCEPTING_CODES.has(failure.code);
 	const lane = getLane(state, record.vm);
 	if (!UNANSWERED_CODES.has(failure.code)) {
 		mutateLaneAnswered(lane, now);
 	}
 
-	if (isGate) {
-		lane.avoided.set(record.ticket.target, now + settings.avoidMs);
+	if (isNotAccepting) {
+		lane.avoided.set(record.request.target, now + settings.avoidMs);
 	} else {
 		mutateLaneFailure(lane, settings, {jitter: failure.jitter, isUnreachable: failure.code === RESULT_CODE.UpstreamUnreachable}, now);
 	}
 
 	const effects: AdmissionEffect[] = [];
-	let isRetried = isRetryable(settings, record, failure) && now < record.ticket.deadlineAt;
+	let isRetried = isRetryable(settings, record, failure) && now < record.request.deadlineAt;
 	const cost = getRetryCost(settings, failure.code);
 	if (isRetried && cost > 0) {
-		const charge = mutateCharged(state, settings, record, cost, now);
+		const charge = mutateCharge(state, settings, record, cost, now);
 		effects.push(charge);
 		isRetried = charge.isAllowed;
 	}
--- a/packages/admission/src/mutate-dequeued.ts
+++ b/packages/admission/src/mutate-dequeued.ts
@@ -4,10 +4,10 @@
 
 /** Takes a request out of its queue. */
 export const mutateDequeued = (state: AdmissionState, record: RequestRecord): void => {
-	const queue = state.queues.get(record.ticket.target) ?? [];
+	const queue = state.queues.get(record.request.target) ?? [];
 	queue.splice(queue.indexOf(record), 1);
 	if (queue.length === 0) {
-		state.queues.delete(record.ticket.target);
+		state.queues.delete(record.request.target);
 	}
 
 	mutateWaitingCount(state, record, -1);
--- a/packages/admission/src/mutate-dispatches.ts
+++ b/packages/admission/src/mutate-dispatches.ts
@@ -10,26 +10,26 @@
 import type {RequestRecord} from './request-record.js';
 
 /** Weight of the newest interval in the measured speed of a queue. */
-const SPEED_SHARE = 0.2;
+const INTERVAL_SMOOTHING = 0.2;
 
-const mutateSpeed = (state: AdmissionState, target: string, now: number): void => {
-	const speed = state.dispatchIntervals.get(target) ?? {meanMs: 0, samples: 0, lastDispatchAt: now};
+const mutateDispatchInterval = (state: AdmissionState, target: string, now: number): void => {
+	const dispatchInterval = state.dispatchIntervals.get(target) ?? {meanMs: 0, samples: 0, lastDispatchAt: now};
 	const isBacklogged = (state.queues.get(target)?.length ?? 0) > 0;
-	const interval = now - speed.lastDispatchAt;
-	if (isBacklogged && speed.samples > 0) {
-		speed.meanMs += (interval - speed.meanMs) * SPEED_SHARE;
+	const interval = now - dispatchInterval.lastDispatchAt;
+	if (isBacklogged && dispatchInterval.samples > 0) {
+		dispatchInterval.meanMs += (interval - dispatchInterval.meanMs) * INTERVAL_SMOOTHING;
 	}
 
-	speed.samples = isBacklogged ? speed.samples + 1 : 0;
-	speed.lastDispatchAt = now;
-	state.dispatchIntervals.set(target, speed);
+	dispatchInterval.samples = isBacklogged ? dispatchInterval.samples + 1 : 0;
+	dispatchInterval.lastDispatchAt = now;
+	state.dispatchIntervals.set(target, dispatchInterval);
 };
 
 const mutateUsage = (state: AdmissionState, record: RequestRecord): void => {
-	const usage = getTeamUsage(state, record.ticket.team);
+	const usage = getTeamUsage(state, record.request.team);
 	usage.inProgress += 1;
 	state.virtualTime = Math.max(state.virtualTime, usage.virtualTime);
-	usage.virtualTime += 1 / record.ticket.teamWeight;
+	usage.virtualTime += 1 / record.request.teamWeight;
 };
 
 const newDispatch = (state: AdmissionState, record: RequestRecord, {vm, lane, isDirect}: BestLane, now: number): AdmissionEffect => {
@@ -37,9 +37,9 @@
 	mutateDequeued(state, record);
 	mutateRequestState(record, 'dispatch');
 	mutateUsage(state, record);
-	mutateSpeed(state, record.ticket.target, now);
+	mutateDispatchInterval(state, record.request.target, now);
 	record.attempts += 1;
-	record.attemptId = `${record.ticket.requestId}.${record.attempts}`;
+	record.attemptId = `${record.request.requestId}.${record.attempts}`;
 	record.vm = vm;
 	record.dispatchedAt = now;
 	lane.isDirect = isDirect;
@@ -48,17 +48,17 @@
 	lane.lastUsedAt = now;
 	return {
 		kind: 'dispatch',
-		requestId: record.ticket.requestId,
+		requestId: record.request.requestId,
 		attemptId: record.attemptId,
 		vm,
 		creditId,
-		remainingMs: record.ticket.deadlineAt - now,
+		remainingMs: record.request.deadlineAt - now,
 	};
 };
 
 const isAllowed = (state: AdmissionState, record: RequestRecord, now: number): boolean => {
-	const isInTime = record.ticket.deadlineAt > now;
-	return isInTime && getTeamUsage(state, record.ticket.team).inProgress < record.limits.teamInProgress;
+	const isInTime = record.request.deadlineAt > now;
+	return isInTime && getTeamUsage(state, record.request.team).inProgress < record.limits.teamInProgress;
 };
 
 const mutateSendsLeft = (sendsLeft: Map<string, number>, vm: string): void => {
--- a/packages/admission/src/mutate-enqueued.ts
+++ b/packages/admission/src/mutate-enqueued.ts
@@ -5,14 +5,14 @@
 
 /** Puts a request into its queue. A team that was idle starts level with the least served one. */
 export const mutateEnqueued = (state: AdmissionState, record: RequestRecord): void => {
-	const usage = getTeamUsage(state, record.ticket.team);
+	const usage = getTeamUsage(state, record.request.team);
 	if (usage.waiting === 0) {
 		usage.virtualTime = Math.max(usage.virtualTime, state.virtualTime);
 	}
 
-	const queue = state.queues.get(record.ticket.target) ?? [];
+	const queue = state.queues.get(record.request.target) ?? [];
 	queue.push(record);
-	state.queues.set(record.ticket.target, queue);
-	state.nextDeadlineAt = Math.min(state.nextDeadlineAt, record.ticket.deadlineAt);
+	state.queues.set(record.request.target, queue);
+	state.nextDeadlineAt = Math.min(state.nextDeadlineAt, record.request.deadlineAt);
 	mutateWaitingCount(state, record, 1);
 };
--- a/packages/admission/src/mutate-expired-requests.ts
+++ b/packages/admission/src/mutate-expired-requests.ts
@@ -8,7 +8,7 @@
 import type {RequestRecord} from './request-record.js';
 
 /** A request that an upstream left without any answer until its time was over counts against the upstream. */
-const mutateUnanswered = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, now: number): void => {
+const mutateUnansweredLane = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, now: number): void => {
 	const lane = getLane(state, record.vm);
 	if (record.state === 'sent' && lane.isDirect) {
 		mutateLaneFailure(lane, settings, {isUnreachable: false}, now);
@@ -28,13 +28,13 @@
 			continue;
 		}
 
-		if (record.ticket.deadlineAt > now) {
-			nextDeadlineAt = Math.min(nextDeadlineAt, record.ticket.deadlineAt);
+		if (record.request.deadlineAt > now) {
+			nextDeadlineAt = Math.min(nextDeadlineAt, record.request.deadlineAt);
 			continue;
 		}
 
-		mutateUnanswered(state, settings, record, now);
-		const isServed = (state.endpoints.get(record.ticket.target)?.length ?? 0) > 0;
+		mutateUnansweredLane(state, settings, record, now);
+		const isServed = (state.endpoints.get(record.request.target)?.length ?? 0) > 0;
 		const outcome = record.state === 'waiting' ? OUTCOME.NotRun : OUTCOME.Unknown;
 		const code = isServed || record.state !== 'waiting' ? RESULT_CODE.DeadlineExceeded : RESULT_CODE.NoUpstream;
 		effects.push(...mutateRequestRefusal(state, record, code, outcome));
--- a/packages/admission/src/mutate-request-end.ts
+++ b/packages/admission/src/mutate-request-end.ts
@@ -7,5 +7,5 @@
 export const mutateRequestEnd = (state: AdmissionState, record: RequestRecord, event: string): void => {
 	mutateRequestRelease(state, record);
 	mutateRequestState(record, event);
-	state.requests.delete(record.ticket.requestId);
+	state.requests.delete(record.request.requestId);
 };
--- a/packages/admission/src/mutate-request-refusal.ts
+++ b/packages/admission/src/mutate-request-refusal.ts
@@ -14,9 +14,9 @@
 	record: RequestRecord,
 	code: ResultCodeValue,
 	outcome: OutcomeValue,
-	retryAfterMs = getRetryAfterMs(state, record.ticket.target),
+	retryAfterMs = getRetryAfterMs(state, record.request.target),
 ): AdmissionEffect[] => {
-	const {requestId} = record.ticket;
+	const {requestId} = record.request;
 	const effects: AdmissionEffect[] = [];
 	if (record.state !== 'waiting') {
 		effects.push({
@@ -24,9 +24,9 @@
 		});
 	}
 
-	const honest = record.runs > 0 && outcome === OUTCOME.NotRun ? OUTCOME.Unknown : outcome;
+	const finalOutcome = record.runs > 0 && outcome === OUTCOME.NotRun ? OUTCOME.Unknown : outcome;
 	effects.push({
-		kind: 'refuse', requestId, code, outcome: honest, retryAfterMs,
+		kind: 'refuse', requestId, code, outcome: finalOutcome, retryAfterMs,
 	});
 	mutateRequestEnd(state, record, 'refuse');
 	return effects;
--- a/packages/admission/src/mutate-request-release.ts
+++ b/packages/admission/src/mutate-request-release.ts
@@ -11,7 +11,7 @@
 		return;
 	}
 
-	getTeamUsage(state, record.ticket.team).inProgress -= 1;
+	getTeamUsage(state, record.request.team).inProgress -= 1;
 	const lane = getLane(state, record.vm);
 	lane.inProgress -= 1;
 	if (lane.inProgress === 0) {
--- a/packages/admission/src/mutate-retry-tokens.ts
+++ b/packages/admission/src/mutate-retry-tokens.ts
@@ -4,9 +4,9 @@
 import type {Ticket} from './ticket.js';
 
 /** Adds to the retry budget of a request, or takes from it. */
-export const mutateRetryTokens = (state: AdmissionState, settings: AdmissionSettings, ticket: Ticket, change: number, now: number): void => {
-	const budget = getRetryBudget(state, settings, ticket, now);
-	state.retryBudgets.set(ticket.budget ?? '', {
+export const mutateRetryTokens = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, change: number, now: number): void => {
+	const budget = getRetryBudget(state, settings, request, now);
+	state.retryBudgets.set(request.budget ?? '', {
 		...budget, tokens: Math.min(settings.maxRetryTokens, budget.tokens + change), spent: budget.spent + Math.max(0, -change),
 	});
 };
--- a/packages/admission/src/mutate-stop-refusals.ts
+++ b/packages/admission/src/mutate-stop-refusals.ts
@@ -8,7 +8,7 @@
  * Whether a request that waits might be cut off with an entry that stops. Nothing but its own deadline bounds how long it runs. One that
  * may have run already goes on: it could not be refused as not run.
  */
-const isCutAtEnd = ({state, runs, ticket}: RequestRecord, endsAt: number): boolean => state === 'waiting' && runs === 0 && ticket.deadlineAt > endsAt;
+const isAbortableAtStop = ({state, runs, request}: RequestRecord, endsAt: number): boolean => state === 'waiting' && runs === 0 && request.deadlineAt > endsAt;
 
 /** Refuses waiting requests that might be cut off with an entry that stops, while their callers can go elsewhere. */
 export const mutateStopRefusals = (state: AdmissionState): AdmissionEffect[] => {
@@ -17,6 +17,6 @@
 		return [];
 	}
 
-	const turnedAway = [...state.requests.values()].filter(record => isCutAtEnd(record, endsAt));
-	return turnedAway.flatMap(record => mutateRequestRefusal(state, record, RESULT_CODE.Draining, OUTCOME.NotRun, 0));
+	const refused = [...state.requests.values()].filter(record => isAbortableAtStop(record, endsAt));
+	return refused.flatMap(record => mutateRequestRefusal(state, record, RESULT_CODE.Draining, OUTCOME.NotRun, 0));
 };
--- a/packages/admission/src/mutate-target-demands.ts
+++ b/packages/admission/src/mutate-target-demands.ts
@@ -9,8 +9,8 @@
 		return {
 			target,
 			waiting: queue.length,
-			weight: queue.reduce((sum, record) => sum + record.ticket.classWeight, 0),
-			mostRemainingMs: Math.max(0, ...queue.map(record => record.ticket.deadlineAt - now)),
+			weight: queue.reduce((sum, record) => sum + record.request.classWeight, 0),
+			mostRemainingMs: Math.max(0, ...queue.map(record => record.request.deadlineAt - now)),
 			arrivals: state.arrivals.get(target) ?? 0,
 		};
 	});
--- a/packages/admission/src/mutate-waiting-count.ts
+++ b/packages/admission/src/mutate-waiting-count.ts
@@ -4,7 +4,7 @@
 
 /** Counts a request for its team and class. */
 export const mutateWaitingCount = (state: AdmissionState, record: RequestRecord, count: number): void => {
-	const {team, className} = record.ticket;
+	const {team, className} = record.request;
 	getTeamUsage(state, team).waiting += count;
 	state.classWaiting.set(className, (state.classWaiting.get(className) ?? 0) + count);
 };
--- a/packages/admission/src/new-admission-state.ts
+++ b/packages/admission/src/new-admission-state.ts
@@ -1,11 +1,11 @@
 import type {AdmissionState} from './admission-state.js';
 
 /** The usual least time after which a refused caller is asked back, in milliseconds. */
-const LEAST_RETRY_AFTER_MS = 1000;
+const DEFAULT_MIN_RETRY_AFTER_MS = 1000;
 
 /** An entry without requests. */
-export const newAdmissionState = (leastRetryAfterMs = LEAST_RETRY_AFTER_MS): AdmissionState => ({
-	leastRetryAfterMs,
+export const newAdmissionState = (minRetryAfterMs = DEFAULT_MIN_RETRY_AFTER_MS): AdmissionState => ({
+	minRetryAfterMs,
 	requests: new Map(),
 	queues: new Map(),
 	teams: new Map(),
--- a/packages/admission/src/request-record.ts
+++ b/packages/admission/src/request-record.ts
@@ -3,7 +3,7 @@
 
 /** One request from its arrival to its single end. */
 export type RequestRecord = {
-	readonly ticket: Ticket;
+	readonly request: Ticket;
 	readonly limits: TicketLimits;
 	/** A state of charts/request.chart.json. */
 	state: string;
