--- a/packages/admission/src/admission-event.ts
+++ b/packages/admission/src/admission-event.ts
@@ -1,11 +1,11 @@
 import type {OutcomeValue, ResultCodeValue} from '@valelead/common';
 import type {AdmissionEndpoint} from './admission-endpoint.js';
 import type {Ticket} from './ticket.js';
-import type {TicketLimits} from './ticket-limits.js';
+import type {RequestLimits} from './request-limits.js';
 
 /** What an entry's admission reacts to. */
 export type AdmissionEvent =
-	| {readonly kind: 'arrive'; readonly ticket: Ticket; readonly limits: TicketLimits}
+	| {readonly kind: 'arrive'; readonly ticket: Ticket; readonly limits: RequestLimits}
 	| {readonly kind: 'abandon'; readonly requestId: string}
 	/** A waiting request is given up on. */
 	| {readonly kind: 'giveUp'; readonly requestId: string; readonly code: ResultCodeValue; readonly retryAfterMs: number}
--- a/packages/admission/src/mutate-arrival.ts
+++ b/packages/admission/src/mutate-arrival.ts
@@ -9,9 +9,9 @@
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
 import type {Ticket} from './ticket.js';
-import type {TicketLimits} from './ticket-limits.js';
+import type {RequestLimits} from './request-limits.js';
 
-const getRefusalCode = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: TicketLimits, now: number): ResultCodeValue | undefined => {
+const getRefusalCode = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: RequestLimits, now: number): ResultCodeValue | undefined => {
 	const usage = getTeamUsage(state, request.team);
 	if (usage.waiting >= limits.teamWaiting || usage.inProgress + usage.waiting >= limits.teamInProgress + limits.teamWaiting) {
 		return RESULT_CODE.TeamLimit;
@@ -27,7 +27,7 @@
 };
 
 /** Queues a request, or refuses it at once if a limit is reached or its wait cannot be met. */
-export const mutateArrival = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: TicketLimits, now: number): AdmissionEffect[] => {
+export const mutateArrival = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: RequestLimits, now: number): AdmissionEffect[] => {
 	state.arrivals.set(request.target, (state.arrivals.get(request.target) ?? 0) + 1);
 	const code = getRefusalCode(state, settings, request, limits, now);
 	if (code !== undefined) {
--- a/packages/admission/src/request-record.ts
+++ b/packages/admission/src/request-record.ts
@@ -1,10 +1,10 @@
 import type {Ticket} from './ticket.js';
-import type {TicketLimits} from './ticket-limits.js';
+import type {RequestLimits} from './request-limits.js';
 
 /** One request from its arrival to its single end. */
 export type RequestRecord = {
 	readonly request: Ticket;
-	readonly limits: TicketLimits;
+	readonly limits: RequestLimits;
 	/** A state of charts/request.chart.json. */
 	state: string;
 	attempts: number;
