--- a/packages/admission/src/admission-effect.ts
+++ b/packages/admission/src/admission-effect.ts
@@ -1,11 +1,14 @@
 import type {OutcomeValue, ResultCodeValue} from '@valelead/common';
 
-/** What an entry's admission wants done. */
+/** An action that admission asks its entry to carry out. */
 export type AdmissionEffect =
+	/** Sends a request to a VM, with a credit of the VM's agent or, for an upstream that is reached directly, with an empty `creditId`. */
 	| {readonly kind: 'dispatch'; readonly requestId: string; readonly attemptId: string; readonly vm: string; readonly creditId: string; readonly remainingMs: number}
-	/** The one final answer of a request that gets no answer from an upstream. */
+	/** Refuses a request; this is its only and final response. */
 	| {readonly kind: 'refuse'; readonly requestId: string; readonly code: ResultCodeValue; readonly outcome: OutcomeValue; readonly retryAfterMs: number}
-	/** Whether the retry budget lets a request that failed be sent again, and the retries that the budget has left. */
+	/** Reports whether the retry budget allowed a failed request to be sent again, and the number of retries left in the budget. */
 	| {readonly kind: 'retry'; readonly requestId: string; readonly isAllowed: boolean; readonly left: number}
+	/** Cancels an attempt that has been sent. */
 	| {readonly kind: 'cancel'; readonly requestId: string; readonly attemptId: string; readonly vm: string}
+	/** Tells an agent how many credits the entry has a use for. */
 	| {readonly kind: 'want'; readonly vm: string; readonly wanted: number};
--- a/packages/admission/src/admission-endpoint.ts
+++ b/packages/admission/src/admission-endpoint.ts
@@ -1,12 +1,12 @@
-/** A VM that can serve a target. */
+/** A VM that can serve the requests of a target. */
 export type AdmissionEndpoint = {
 	readonly vm: string;
 	readonly dataCentre: string;
 	/**
-	 * Requests that this entry may have in progress there at once, where it reaches the upstream itself.
-	 * Undefined where an agent issues credits.
+	 * The maximum number of requests that this entry may have in progress at the VM, if it reaches the upstream directly.
+	 * Undefined if an agent on the VM limits requests by granting credits.
 	 */
 	readonly places?: number;
-	/** Requests in progress there that come from other entries, as last reported. */
+	/** The number of requests of other entries that are in progress at the VM, as last reported. */
 	readonly othersInProgress?: number;
 };
--- a/packages/admission/src/admission-event.ts
+++ b/packages/admission/src/admission-event.ts
@@ -3,29 +3,39 @@
 import type {Ticket} from './ticket.js';
 import type {RequestLimits} from './request-limits.js';
 
-/** What an entry's admission reacts to. */
+/** An event that admission reacts to. */
 export type AdmissionEvent =
+	/** A request has arrived. */
 	| {readonly kind: 'arrive'; readonly ticket: Ticket; readonly limits: RequestLimits}
+	/** The caller of a request has disconnected. */
 	| {readonly kind: 'abandon'; readonly requestId: string}
-	/** A waiting request is given up on. */
+	/** The entry refuses a waiting request, for example because its model would load too late. */
 	| {readonly kind: 'giveUp'; readonly requestId: string; readonly code: ResultCodeValue; readonly retryAfterMs: number}
-	/** The entry is told to stop: what is in progress at `endsAt`, in monotonic milliseconds, is broken off. */
+	/** The entry was told to stop. It aborts the requests that are still in progress at `endsAt`, in monotonic milliseconds. */
 	| {readonly kind: 'stop'; readonly endsAt: number}
+	/** The entry refuses all waiting requests. */
 	| {readonly kind: 'refuseAll'; readonly code: ResultCodeValue}
+	/** An agent has granted credits; each of them permits one dispatch. */
 	| {readonly kind: 'credits'; readonly vm: string; readonly creditIds: readonly string[]; readonly validForMs: number}
+	/** The stream on which an agent grants credits has closed, so that its unused credits are void. */
 	| {readonly kind: 'laneClosed'; readonly vm: string}
+	/** The VMs that can serve each target have changed. */
 	| {readonly kind: 'endpoints'; readonly endpoints: ReadonlyMap<string, readonly AdmissionEndpoint[]>}
+	/** The response to an attempt has begun. */
 	| {readonly kind: 'started'; readonly requestId: string; readonly attemptId: string}
+	/** The response to an attempt is complete. */
 	| {readonly kind: 'finished'; readonly requestId: string; readonly attemptId: string}
+	/** An attempt has ended without a complete response. */
 	| {
 		readonly kind: 'failed';
 		readonly requestId: string;
 		readonly attemptId: string;
 		readonly code: ResultCodeValue;
 		readonly outcome: OutcomeValue;
-		/** Uniform in [0, 1). */
+		/** A random number, uniformly distributed in [0, 1), that varies the ejection time of the upstream. */
 		readonly jitter: number;
-		/** Another upstream must not be risked with the request; left out where it may. */
+		/** True if the request must not be sent to another upstream, as it may crash that one too; absent if it may be sent. */
 		readonly isLast?: boolean;
 	}
+	/** Time has passed. */
 	| {readonly kind: 'tick'};
--- a/packages/admission/src/admission-settings.ts
+++ b/packages/admission/src/admission-settings.ts
@@ -1,35 +1,36 @@
 import type {SendLimit} from './send-limit.js';
 
-/** Limits and timing of an entry. Times in milliseconds. */
+/** The limits and timing of an entry's admission. Times in milliseconds. */
 export type AdmissionSettings = {
-	/** Dispatches of one request at most. */
+	/** The maximum number of dispatches of one request. */
 	readonly maxAttempts: number;
-	/** Retries earned by each new request; a retry after a failed upstream costs one. */
+	/** The retry tokens that each new request adds to its retry budget; a retry after a failure of an upstream costs one token. */
 	readonly retryShare: number;
-	/** Retries that can be saved up, in each budget. */
+	/** The maximum number of tokens in each retry budget. */
 	readonly maxRetryTokens: number;
-	/** Retries that each budget starts with, less what it has spent before it is opened. */
+	/** The tokens that each retry budget receives when it opens, less those that it spent before. */
 	readonly initialRetryTokens?: number;
-	/** From when on budgets have their initial retries, on the monotonic clock; left out for at once. Another time begins all budgets anew. */
+	/** The monotonic time at which retry budgets open and receive their initial tokens; at once if absent. If it changes, all budgets are reset. */
 	readonly initialRetriesAt?: number;
-	/** Whether a dispatch that was refused before it ran costs a retry as well. */
+	/** True if a retry also costs a token when the upstream refused the request before running it. */
 	readonly isRefusalBudgeted?: boolean;
-	/** Failures in a row after which an upstream is left out for a while. */
+	/** The number of consecutive failures after which an upstream is ejected, that is, gets no requests until its ejection time has passed. */
 	readonly ejectAfter: number;
+	/** The time of an upstream's first ejection; each further ejection without a success in between lasts twice as long. */
 	readonly ejectMs: number;
 	readonly maxEjectMs: number;
-	/** A refused upstream is not tried again for the same target for this long. */
+	/** The time for which a target's requests are not sent to an upstream that has refused one of them. */
 	readonly avoidMs: number;
-	/** A credit is not used in the last part of its time. */
+	/** The time before the expiry of a credit in which it is no longer used. */
 	readonly creditMarginMs: number;
-	/** An upstream without any answer to the entry's requests for this long is passed over where another one can serve; undefined to not look. */
+	/** An upstream that has answered none of the entry's requests for this time is used only if no other one can serve; absent for no such check. */
 	readonly unansweredMs?: number;
 	/**
-	 * An upstream that has left all requests of the entry without any answer for this long is left out for a while, also
-	 * where no other one can serve; undefined to not look.
+	 * An upstream that has answered none of the entry's requests for this time is ejected, even if no other one can serve;
+	 * absent for no such check.
 	 */
 	readonly darkMs?: number;
-	/** The upstreams that limit the requests that they take, by VM; left out where none does. */
+	/** The limits of the upstreams that limit their request rate, by VM; absent if none does. */
 	readonly sendLimits?: ReadonlyMap<string, SendLimit>;
 	/** The data centre of the entry. */
 	readonly dataCentre: string;
--- a/packages/admission/src/admission-state.ts
+++ b/packages/admission/src/admission-state.ts
@@ -5,25 +5,29 @@
 import type {DispatchInterval} from './dispatch-interval.js';
 import type {TeamUsage} from './team-usage.js';
 
-/** The state of an entry's queues. */
+/** The state of an entry's admission: its requests, queues, upstreams and retry budgets. Times are monotonic milliseconds. */
 export type AdmissionState = {
 	readonly requests: Map<string, RequestRecord>;
-	/** Waiting requests by target. */
+	/** The waiting requests by target. */
 	readonly queues: Map<string, RequestRecord[]>;
 	readonly teams: Map<string, TeamUsage>;
+	/** The number of waiting requests by class. */
 	readonly classWaiting: Map<string, number>;
+	/** The state kept about each VM, by VM. */
 	readonly lanes: Map<string, AdmissionLane>;
+	/** The VMs that can serve each target, by target. */
 	endpoints: ReadonlyMap<string, readonly AdmissionEndpoint[]>;
 	readonly dispatchIntervals: Map<string, DispatchInterval>;
-	/** Arrivals by target since they were last reported. */
+	/** The number of requests that arrived since the last report, by target. */
 	readonly arrivals: Map<string, number>;
-	/** When what is still in progress is broken off; undefined until the entry is told to stop. */
+	/** The time at which requests still in progress are aborted; undefined until the entry is told to stop. */
 	endsAt: number | undefined;
-	/** The least time after which a refused caller is asked back, in milliseconds. */
+	/** The minimum Retry-After time of a refusal, in milliseconds. */
 	readonly minRetryAfterMs: number;
-	/** By name. */
+	/** The retry budgets by name. */
 	readonly retryBudgets: Map<string, RetryBudget>;
-	/** The service that the least served waiting team has received. */
+	/** The virtual time of weighted fair queueing: the service, divided by weight, that the least served waiting team has received. */
 	virtualTime: number;
+	/** The earliest deadline of a request whose response has not begun; infinite if there is none. */
 	nextDeadlineAt: number;
 };
--- a/packages/admission/src/dispatch-interval.ts
+++ b/packages/admission/src/dispatch-interval.ts
@@ -1,7 +1,9 @@
-/** How fast a target's queue moved lately. */
+/** The measured time between dispatches from a target's queue. */
 export type DispatchInterval = {
-	/** Running mean of the time between dispatches while requests waited, in milliseconds; 0 until measured. */
+	/** The exponential moving average of the time between dispatches while requests waited, in milliseconds; 0 until measured. */
 	meanMs: number;
+	/** The number of consecutive dispatches after which requests were still waiting. */
 	samples: number;
+	/** The time of the last dispatch, in monotonic milliseconds. */
 	lastDispatchAt: number;
 };
--- a/packages/admission/src/get-best-lane.ts
+++ b/packages/admission/src/get-best-lane.ts
@@ -7,17 +7,17 @@
 
 type LaneSearch = {
 	readonly target: string;
-	/** Requests that may still be sent to upstreams that limit them, by VM. */
+	/** The number of requests that may still be sent to each upstream that limits its request rate, by VM. */
 	readonly sendsLeft: ReadonlyMap<string, number>;
 };
 
-/** Requests in progress that outweigh an upstream in another data centre. */
+/** Penalty of an upstream in another data centre, in requests in progress. */
 const REMOTE_PENALTY = 2;
 
-/** Requests in progress that outweigh an upstream that answers nothing. */
+/** Penalty of an upstream that has left all requests unanswered for the time in the settings, in requests in progress. */
 const UNANSWERED_PENALTY = 100;
 
-/** Requests in progress that outweigh one recent failure. */
+/** Penalty for each recent failure of an upstream, in requests in progress. */
 const FAILURE_PENALTY = 4;
 
 const hasCapacity = (lane: AdmissionLane, endpoint: AdmissionEndpoint): boolean => endpoint.places === undefined ? lane.credits.length > 0 : lane.inProgress < endpoint.places;
@@ -39,8 +39,9 @@
 };
 
 /**
- * The agent that gets the next request for a target: the one with least outstanding work as this
- * entry knows it, near ones first. An upstream that failed lately gets one probe at a time.
+ * Chooses the VM that receives the next request of a target: the one with the fewest requests in progress, with penalties for remote,
+ * unanswering and failing upstreams. An upstream that was ejected gets one request at a time until one succeeds. Returns undefined if no VM
+ * can take a request now.
  */
 export const getBestLane = (state: AdmissionState, settings: AdmissionSettings, {target, sendsLeft}: LaneSearch, now: number): BestLane | undefined => {
 	let best: BestLane | undefined;
--- a/packages/admission/src/get-lane.ts
+++ b/packages/admission/src/get-lane.ts
@@ -1,7 +1,7 @@
 import type {AdmissionLane} from './admission-lane.js';
 import type {AdmissionState} from './admission-state.js';
 
-/** The lane to an agent, made when it is first asked for. */
+/** Returns the state kept about a VM and creates it on first use. */
 export const getLane = (state: AdmissionState, vm: string): AdmissionLane => {
 	const known = state.lanes.get(vm);
 	if (known) {
--- a/packages/admission/src/get-next-request.ts
+++ b/packages/admission/src/get-next-request.ts
@@ -33,8 +33,9 @@
 };
 
 /**
- * The request of a target that is served next: of the most urgent rank, of the team that has received least for its weight,
- * then of the weightiest class, then the one whose time ends first. A team at its limit waits.
+ * Returns the waiting request of a target that is dispatched next: the one with the most urgent rank, then of the team that has received
+ * the least service for its weight, then of the class with the highest weight, then with the earliest deadline. Requests for which
+ * `isAllowed` returns false, such as those of a team at its limit, keep waiting.
  */
 export const getNextRequest = (state: AdmissionState, target: string, isAllowed: (record: RequestRecord) => boolean): RequestRecord | undefined => {
 	let best: RequestRecord | undefined;
--- a/packages/admission/src/get-rate-limited-wait-ms.ts
+++ b/packages/admission/src/get-rate-limited-wait-ms.ts
@@ -3,12 +3,12 @@
 
 const MS_PER_SECOND = 1000;
 
-/** No longer wait is told, in milliseconds: a limit may be 0, and may end at any time. */
+/** Upper bound of the wait, in milliseconds. A rate limit may be 0, and it may end at any time. */
 const MAX_WAIT_MS = 60_000;
 
 /**
- * The least time after which a request that joins a target's queue now can be sent, in milliseconds, where all upstreams of the target limit the requests
- * that they take; 0 where one does not. Other entries' requests are not counted.
+ * Returns the minimum time until a request that joins a target's queue now can be sent, in milliseconds, given the rate limits of the target's
+ * upstreams; 0 if one of them has no limit. Requests of other entries are not counted.
  */
 export const getRateLimitedWaitMs = (state: AdmissionState, {sendLimits}: AdmissionSettings, target: string): number => {
 	const limits = (state.endpoints.get(target) ?? []).map(({vm}) => sendLimits?.get(vm));
--- a/packages/admission/src/get-retry-budget.ts
+++ b/packages/admission/src/get-retry-budget.ts
@@ -3,10 +3,10 @@
 import type {RetryBudget} from './retry-budget.js';
 import type {Ticket} from './ticket.js';
 
-/** What a budget starts with where the settings do not say. */
+/** The initial tokens of a retry budget if the settings do not specify them. */
 const INITIAL_TOKENS = 1;
 
-/** The retry budget of a request now. */
+/** Returns the current retry budget of a request. */
 export const getRetryBudget = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, now: number): RetryBudget => {
 	const opensAt = settings.initialRetriesAt ?? Number.NEGATIVE_INFINITY;
 	const known = state.retryBudgets.get(request.budget ?? '');
@@ -16,7 +16,7 @@
 			tokens: 0, opensAt, isOpened: false, spent: 0,
 		};
 	const isOpening = !budget.isOpened && now >= opensAt;
-	// What was earned and spent just before would otherwise come on top of the initial retries within one window.
+	// Retries spent before the budget opened are subtracted; otherwise they would add to the initial retries within one budget window.
 	const initial = isOpening ? Math.max(0, (settings.initialRetryTokens ?? INITIAL_TOKENS) - budget.spent) : 0;
 	return {...budget, isOpened: budget.isOpened || isOpening, tokens: Math.min(settings.maxRetryTokens, budget.tokens + initial)};
 };
--- a/packages/admission/src/get-service-target.ts
+++ b/packages/admission/src/get-service-target.ts
@@ -1,2 +1,2 @@
-/** The target of a plain service. No unit key holds a slash. */
+/** Returns the target for requests to a service without models. It cannot collide with a unit's target, as no unit key contains a slash. */
 export const getServiceTarget = (service: string): string => `service/${service}`;
--- a/packages/admission/src/get-team-usage.ts
+++ b/packages/admission/src/get-team-usage.ts
@@ -1,7 +1,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {TeamUsage} from './team-usage.js';
 
-/** The usage of a team, made when it is first asked for. */
+/** Returns the usage of a team and creates it on first use. */
 export const getTeamUsage = (state: AdmissionState, team: string): TeamUsage => {
 	const known = state.teams.get(team);
 	if (known) {
--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -17,7 +17,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** The request of an attempt, unless the attempt is no longer its present one. */
+/** Returns the request of an attempt, or undefined if the request has ended or the attempt is no longer its current one. */
 const getCurrent = (state: AdmissionState, requestId: string, attemptId: string): RequestRecord | undefined => {
 	const record = state.requests.get(requestId);
 	return record?.attemptId === attemptId && record.state !== 'waiting' ? record : undefined;
@@ -136,7 +136,10 @@
 	}
 };
 
-/** Advances an entry's admission by one event at its monotonic time in milliseconds, and returns what must be done. */
+/**
+ * Applies an event to the state of an entry's admission and returns the actions that the entry must carry out.
+ * @param now - The time of the event, in monotonic milliseconds.
+ */
 export const mutateAdmission = (state: AdmissionState, settings: AdmissionSettings, event: AdmissionEvent, now: number): AdmissionEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
 	effects.push(...mutateExpiredRequests(state, settings, now), ...mutateStopRefusals(state), ...mutateDispatches(state, settings, now), ...newCreditRequests(state, now));
--- a/packages/admission/src/mutate-arrival.ts
+++ b/packages/admission/src/mutate-arrival.ts
@@ -26,13 +26,17 @@
 	return isServed && waitMs > request.deadlineAt - now ? RESULT_CODE.WaitTooLong : undefined;
 };
 
-/** Queues a request, or refuses it at once if a limit is reached or its wait cannot be met. */
+/** Queues a new request, or refuses it at once if a limit is reached or if its expected wait exceeds its deadline. */
 export const mutateArrival = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: RequestLimits, now: number): AdmissionEffect[] => {
 	state.arrivals.set(request.target, (state.arrivals.get(request.target) ?? 0) + 1);
 	const code = getRefusalCode(state, settings, request, limits, now);
 	if (code !== undefined) {
 		return [{
-			kind: 'refuse', requestId: request.requestId, code, outcome: OUTCOME.NotRun, retryAfterMs: Math.max(getRetryAfterMs(state, request.target), getRateLimitedWaitMs(state, settings, request.target)),
+			kind: 'refuse',
+			requestId: request.requestId,
+			code,
+			outcome: OUTCOME.NotRun,
+			retryAfterMs: Math.max(getRetryAfterMs(state, request.target), getRateLimitedWaitMs(state, settings, request.target)),
 		}];
 	}
 
--- a/packages/admission/src/mutate-attempt-failure.ts
+++ b/packages/admission/src/mutate-attempt-failure.ts
@@ -24,7 +24,7 @@
 
 type RetryEffect = Extract<AdmissionEffect, {kind: 'retry'}>;
 
-/** Codes that say something of the agent's present state, not of its health. */
+/** Result codes that report a temporary state of the agent, such as draining. Attempts that end with them do not count as failures of its upstream. */
 const NOT_ACCEPTING_CODES: ReadonlySet<ResultCodeValue> = new Set([
 	RESULT_CODE.CreditExpired,
 	RESULT_CODE.UnitNotReady,
@@ -33,16 +33,16 @@
 	RESULT_CODE.ConfigurationTooOld,
 ]);
 
-/** Codes of attempts that got no answer at all. */
+/** Result codes of attempts to which the upstream sent no response at all. */
 const UNANSWERED_CODES: ReadonlySet<ResultCodeValue> = new Set([RESULT_CODE.UpstreamUnreachable, RESULT_CODE.UpstreamSilent]);
 
-/** A request that reached no upstream costs nothing; one that was refused costs where the settings say so. */
+/** Returns the tokens that a retry costs: none if the request reached no upstream, or if it was refused and the settings do not charge refusals. */
 const getRetryCost = (settings: AdmissionSettings, code: ResultCodeValue): number => {
 	const isFree = code === RESULT_CODE.UpstreamUnreachable || (NOT_ACCEPTING_CODES.has(code) && !settings.isRefusalBudgeted);
 	return isFree ? 0 : 1;
 };
 
-/** Whether a request may be sent again, the retry budget apart. */
+/** Returns true if a request may be sent again, apart from its retry budget. */
 const isRetryable = (settings: AdmissionSettings, record: RequestRecord, failure: Failure): boolean => {
 	const isSafe = failure.outcome === OUTCOME.NotRun || record.request.isRepeatable;
 	const runs = record.runs + (failure.outcome === OUTCOME.NotRun ? 0 : 1);
@@ -52,7 +52,7 @@
 	return failure.isLast !== true && isSafe && isOpen && hasRuns && hasAttempts;
 };
 
-/** Charges one more dispatch of a request to its retry budget, if that has enough. */
+/** Charges a retry to the request's retry budget if the budget has enough tokens, and reports the result. */
 const mutateCharge = (state: AdmissionState, settings: AdmissionSettings, {request}: RequestRecord, cost: number, now: number): RetryEffect => {
 	const {tokens} = getRetryBudget(state, settings, request, now);
 	const isAllowed = cost <= tokens;
@@ -66,8 +66,8 @@
 };
 
 /**
- * Takes the end of an attempt that gave no answer. It is dispatched again only if it did not run or may
- * run twice, nothing of an answer was passed on, and the retry budget allows it.
+ * Handles an attempt that ended without a complete response. The request is queued again only if it did not run or may run again, if none of
+ * the response has been passed on or the stream can be resumed, and if the retry budget allows it. Otherwise it is refused.
  */
 export const mutateAttemptFailure = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, failure: Failure, now: number): AdmissionEffect[] => {
 	const isNotAccepting = NOT_ACCEPTING_CODES.has(failure.code);
--- a/packages/admission/src/mutate-dequeued.ts
+++ b/packages/admission/src/mutate-dequeued.ts
@@ -2,7 +2,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Takes a request out of its queue. */
+/** Removes a request from its target's queue. */
 export const mutateDequeued = (state: AdmissionState, record: RequestRecord): void => {
 	const queue = state.queues.get(record.request.target) ?? [];
 	queue.splice(queue.indexOf(record), 1);
--- a/packages/admission/src/mutate-dispatches.ts
+++ b/packages/admission/src/mutate-dispatches.ts
@@ -9,7 +9,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Weight of the newest interval in the measured speed of a queue. */
+/** Weight of the newest sample in the exponential moving average of the time between dispatches. */
 const INTERVAL_SMOOTHING = 0.2;
 
 const mutateDispatchInterval = (state: AdmissionState, target: string, now: number): void => {
@@ -68,7 +68,7 @@
 	}
 };
 
-/** Sends what can be sent: for each target, the next request to the best agent, while credits last. */
+/** Dispatches all requests that can be sent now: for each target, the next request to the best VM, as long as a VM can take one. */
 export const mutateDispatches = (state: AdmissionState, settings: AdmissionSettings, now: number): AdmissionEffect[] => {
 	const effects: AdmissionEffect[] = [];
 	for (const lane of state.lanes.values()) {
--- a/packages/admission/src/mutate-enqueued.ts
+++ b/packages/admission/src/mutate-enqueued.ts
@@ -3,7 +3,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Puts a request into its queue. A team that was idle starts level with the least served one. */
+/** Adds a request to its target's queue. A team that was idle starts at the current virtual time, so that it gets no credit for its idle time. */
 export const mutateEnqueued = (state: AdmissionState, record: RequestRecord): void => {
 	const usage = getTeamUsage(state, record.request.team);
 	if (usage.waiting === 0) {
--- a/packages/admission/src/mutate-expired-requests.ts
+++ b/packages/admission/src/mutate-expired-requests.ts
@@ -7,7 +7,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** A request that an upstream left without any answer until its time was over counts against the upstream. */
+/** Records a failure of an upstream that left a request unanswered until its deadline. */
 const mutateUnansweredLane = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, now: number): void => {
 	const lane = getLane(state, record.vm);
 	if (record.state === 'sent' && lane.isDirect) {
@@ -15,7 +15,7 @@
 	}
 };
 
-/** Refuses the requests whose time has run out before their answer began. */
+/** Refuses the requests whose deadline passed before their response began. */
 export const mutateExpiredRequests = (state: AdmissionState, settings: AdmissionSettings, now: number): AdmissionEffect[] => {
 	if (now < state.nextDeadlineAt) {
 		return [];
--- a/packages/admission/src/mutate-lane-answered.ts
+++ b/packages/admission/src/mutate-lane-answered.ts
@@ -1,6 +1,6 @@
 import type {AdmissionLane} from './admission-lane.js';
 
-/** Notes that the upstream of a lane has answered one of its requests. */
+/** Records that a VM has answered one of its requests, which restarts the time measured for its other requests in progress. */
 export const mutateLaneAnswered = (lane: AdmissionLane, now: number): void => {
 	lane.unansweredSince = lane.inProgress > 1 ? now : undefined;
 };
--- a/packages/admission/src/mutate-lane-failure.ts
+++ b/packages/admission/src/mutate-lane-failure.ts
@@ -2,18 +2,19 @@
 import type {AdmissionSettings} from './admission-settings.js';
 
 type LaneFailure = {
-	/** Uniform in [0, 1); the middle where none was drawn. */
+	/** A random number, uniformly distributed in [0, 1); 0.5 if absent, which leaves the ejection time unchanged. */
 	readonly jitter?: number;
-	/** No connection could be made; one such failure is enough. */
+	/** True if the upstream cannot be reached; it is ejected after a single such failure. */
 	readonly isUnreachable: boolean;
 };
 
-/** The spread of an ejection around its base, either way. */
+/** The maximum deviation of an ejection time from its base, as a fraction of the base. */
 const JITTER_SHARE = 0.2;
 
 /**
- * Leaves an upstream out after failures in a row, for a time that doubles with a bounded jitter
- * (the jitter of ±20% follows "Resilience: Circuit Breakers and Retry Backoff", ComputeFlux series, article 9).
+ * Records a failure of an upstream and ejects the upstream after consecutive failures, or after a single one if it cannot be reached or was
+ * ejected since its last success. The ejection time doubles with each ejection and has a jitter of ±20%
+ * (as in "Resilience: Circuit Breakers and Retry Backoff", ComputeFlux series, article 9).
  */
 export const mutateLaneFailure = (lane: AdmissionLane, settings: AdmissionSettings, {jitter = 0.5, isUnreachable}: LaneFailure, now: number): void => {
 	lane.failures += 1;
--- a/packages/admission/src/mutate-request-end.ts
+++ b/packages/admission/src/mutate-request-end.ts
@@ -3,7 +3,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Ends a request. Whatever arrives for it later finds no record and is dropped. */
+/** Ends a request and removes its record, so that later events of the request are ignored. */
 export const mutateRequestEnd = (state: AdmissionState, record: RequestRecord, event: string): void => {
 	mutateRequestRelease(state, record);
 	mutateRequestState(record, event);
--- a/packages/admission/src/mutate-request-refusal.ts
+++ b/packages/admission/src/mutate-request-refusal.ts
@@ -6,8 +6,9 @@
 import type {RequestRecord} from './request-record.js';
 
 /**
- * Ends a request with a refusal. What was dispatched and not refused by its agent may have run.
- * @param retryAfterMs - When the caller should come back, in milliseconds; once the present queue is served where it is not known better.
+ * Ends a request with a refusal and cancels its attempt if it has been dispatched. The outcome is reported as unknown if an earlier attempt may
+ * have run.
+ * @param retryAfterMs - The Retry-After time, in milliseconds; by default the expected time until the present queue is served.
  */
 export const mutateRequestRefusal = (
 	state: AdmissionState,
--- a/packages/admission/src/mutate-request-release.ts
+++ b/packages/admission/src/mutate-request-release.ts
@@ -4,7 +4,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Takes a request out of the queue or from its upstream. */
+/** Removes a request from its queue, or from the requests in progress of its team and VM. */
 export const mutateRequestRelease = (state: AdmissionState, record: RequestRecord): void => {
 	if (record.state === 'waiting') {
 		mutateDequeued(state, record);
--- a/packages/admission/src/mutate-retry-tokens.ts
+++ b/packages/admission/src/mutate-retry-tokens.ts
@@ -3,7 +3,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {Ticket} from './ticket.js';
 
-/** Adds to the retry budget of a request, or takes from it. */
+/** Adds tokens to the retry budget of a request, or removes tokens if the change is negative. */
 export const mutateRetryTokens = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, change: number, now: number): void => {
 	const budget = getRetryBudget(state, settings, request, now);
 	state.retryBudgets.set(request.budget ?? '', {
--- a/packages/admission/src/mutate-stop-refusals.ts
+++ b/packages/admission/src/mutate-stop-refusals.ts
@@ -5,12 +5,12 @@
 import type {RequestRecord} from './request-record.js';
 
 /**
- * Whether a request that waits might be cut off with an entry that stops. Nothing but its own deadline bounds how long it runs. One that
- * may have run already goes on: it could not be refused as not run.
+ * Returns true if a waiting request, once sent, could still be in progress when a stopping entry ends and would then be aborted. Only its
+ * deadline bounds how long a request runs. A request that may have run already is not refused, as it could not be refused as not run.
  */
 const isAbortableAtStop = ({state, runs, request}: RequestRecord, endsAt: number): boolean => state === 'waiting' && runs === 0 && request.deadlineAt > endsAt;
 
-/** Refuses waiting requests that might be cut off with an entry that stops, while their callers can go elsewhere. */
+/** Refuses the waiting requests that a stopping entry might have to abort at its end, so that their callers can retry at another entry. */
 export const mutateStopRefusals = (state: AdmissionState): AdmissionEffect[] => {
 	const {endsAt} = state;
 	if (endsAt === undefined) {
--- a/packages/admission/src/mutate-target-demands.ts
+++ b/packages/admission/src/mutate-target-demands.ts
@@ -1,7 +1,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {TargetDemand} from './target-demand.js';
 
-/** What waits for each target, and what arrived since the last call. */
+/** Returns the demand for each target that has waiting requests or new arrivals, and resets the counts of arrivals. */
 export const mutateTargetDemands = (state: AdmissionState, now: number): TargetDemand[] => {
 	const targets = new Set([...state.queues.keys(), ...state.arrivals.keys()]);
 	const demands = [...targets].map(target => {
--- a/packages/admission/src/mutate-unresponsive-lanes.ts
+++ b/packages/admission/src/mutate-unresponsive-lanes.ts
@@ -7,8 +7,8 @@
 	isDirect && now >= ejectedUntil && unansweredSince !== undefined && now - unansweredSince > darkMs;
 
 /**
- * Leaves out the upstreams that answer nothing any more. A machine without power takes what is sent on open connections
- * and says nothing, for some seconds until it is missed in the directory; what comes meanwhile is better kept for others.
+ * Ejects upstreams that no longer answer any request. A machine that lost power leaves requests on open connections unanswered, and it takes
+ * some seconds until the directory removes the machine. Requests that arrive in the meantime are better sent to other upstreams.
  */
 export const mutateUnresponsiveLanes = (state: AdmissionState, settings: AdmissionSettings, now: number): void => {
 	if (settings.darkMs === undefined) {
--- a/packages/admission/src/mutate-waiting-count.ts
+++ b/packages/admission/src/mutate-waiting-count.ts
@@ -2,7 +2,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Counts a request for its team and class. */
+/** Adds a number, which may be negative, to the waiting requests of a request's team and class. */
 export const mutateWaitingCount = (state: AdmissionState, record: RequestRecord, count: number): void => {
 	const {team, className} = record.request;
 	getTeamUsage(state, team).waiting += count;
--- a/packages/admission/src/new-admission-state.ts
+++ b/packages/admission/src/new-admission-state.ts
@@ -1,9 +1,12 @@
 import type {AdmissionState} from './admission-state.js';
 
-/** The usual least time after which a refused caller is asked back, in milliseconds. */
+/** The default minimum of the Retry-After time of refusals, in milliseconds. */
 const DEFAULT_MIN_RETRY_AFTER_MS = 1000;
 
-/** An entry without requests. */
+/**
+ * Returns the state of an admission without requests.
+ * @param minRetryAfterMs - The minimum Retry-After time of refusals, in milliseconds.
+ */
 export const newAdmissionState = (minRetryAfterMs = DEFAULT_MIN_RETRY_AFTER_MS): AdmissionState => ({
 	minRetryAfterMs,
 	requests: new Map(),
--- a/packages/admission/src/new-credit-requests.ts
+++ b/packages/admission/src/new-credit-requests.ts
@@ -2,10 +2,10 @@
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionState} from './admission-state.js';
 
-/** A lane that was used within this time keeps a credit in advance, in milliseconds. */
+/** The time after the last dispatch to a VM for which the entry keeps asking its agent for one credit in advance, in milliseconds. */
 const WARM_LANE_MS = 10_000;
 
-/** Tells the agents how many requests wait for them, where that changed. */
+/** Returns requests for credits to all agents for which the number of wanted credits has changed. */
 export const newCreditRequests = (state: AdmissionState, now: number): AdmissionEffect[] => {
 	const wanted = new Map<string, number>();
 	for (const [target, queue] of state.queues) {
--- a/packages/admission/src/request-record.ts
+++ b/packages/admission/src/request-record.ts
@@ -1,16 +1,20 @@
 import type {Ticket} from './ticket.js';
 import type {RequestLimits} from './request-limits.js';
 
-/** One request from its arrival to its single end. */
+/** The state of one request from its arrival to its end. */
 export type RequestRecord = {
 	readonly request: Ticket;
 	readonly limits: RequestLimits;
-	/** A state of charts/request.chart.json. */
+	/** The state in the state chart `charts/request.chart.json`. */
 	state: string;
+	/** The number of dispatches so far. */
 	attempts: number;
+	/** The id of the current or last attempt; empty before the first one. */
 	attemptId: string;
+	/** The VM of the current or last attempt; empty before the first one. */
 	vm: string;
-	/** Earlier attempts that may have run. */
+	/** The number of earlier attempts that may have run. */
 	runs: number;
+	/** The time of the last dispatch, in monotonic milliseconds. */
 	dispatchedAt: number;
 };
--- a/packages/admission/src/retry-budget.ts
+++ b/packages/admission/src/retry-budget.ts
@@ -1,10 +1,11 @@
-/** The retries that an entry may send to one service. */
+/** A token bucket that limits the retries of the requests that name it, such as those to one service. */
 export type RetryBudget = {
-	/** Retries that are left. */
+	/** The retries that are left. Each new request adds a fraction of a token. */
 	readonly tokens: number;
-	/** From when on it has its initial retries, in monotonic milliseconds; at another time it begins anew. */
+	/** The time at which the budget receives its initial tokens, in monotonic milliseconds. If the settings name another time, the budget is reset. */
 	readonly opensAt: number;
+	/** True if the budget has received its initial tokens. */
 	readonly isOpened: boolean;
-	/** Retries that were charged before it was opened. */
+	/** The retries that were charged to the budget; those charged before it opens are subtracted from its initial tokens. */
 	readonly spent: number;
 };
--- a/packages/admission/src/send-limit.ts
+++ b/packages/admission/src/send-limit.ts
@@ -1,7 +1,7 @@
-/** What limits the requests to an upstream that takes only so many from all entries together. */
+/** This entry's part of the request rate limit that an upstream applies to all entries together. */
 export type SendLimit = {
-	/** Requests that this entry may send now. */
+	/** The number of requests that this entry may send now. */
 	readonly sends: number;
-	/** Requests a second that this entry can expect to send there, at most those that the upstream takes from all entries together. */
+	/** The number of requests per second that this entry can expect to send; at most the upstream's limit for all entries together. */
 	readonly perSecond: number;
 };
--- a/packages/admission/src/target-demand.ts
+++ b/packages/admission/src/target-demand.ts
@@ -1,11 +1,12 @@
-/** What waits at an entry for one target. */
+/** The demand for one target at an entry: its waiting requests and recent arrivals. */
 export type TargetDemand = {
 	readonly target: string;
+	/** The number of waiting requests. */
 	readonly waiting: number;
-	/** Sum over the waiting requests of the weights of their classes. */
+	/** The sum of the class weights of the waiting requests. */
 	readonly weight: number;
-	/** Remaining time of the waiting request that has most, in milliseconds. */
+	/** The longest remaining time until the deadline of a waiting request, in milliseconds. */
 	readonly mostRemainingMs: number;
-	/** Requests that arrived since the last report. */
+	/** The number of requests that arrived since the last report. */
 	readonly arrivals: number;
 };
--- a/packages/admission/src/team-usage.ts
+++ b/packages/admission/src/team-usage.ts
@@ -1,7 +1,7 @@
-/** What a team uses of this entry. */
+/** The requests of a team at this entry, and the service that the team has received. */
 export type TeamUsage = {
 	waiting: number;
 	inProgress: number;
-	/** Service received, divided by the team's weight. */
+	/** The number of dispatched requests of the team divided by its weight, which orders teams for fair queueing. */
 	virtualTime: number;
 };
--- a/packages/admission/src/ticket.ts
+++ b/packages/admission/src/ticket.ts
@@ -1,24 +1,24 @@
-/** What the admission knows of a request. Times are monotonic milliseconds. */
+/** The fields of a request that admission decides on. Times are monotonic milliseconds. */
 export type Ticket = {
 	readonly requestId: string;
 	readonly team: string;
 	readonly teamWeight: number;
-	/** How urgent it is before any other order, 0 the most; undefined where all are alike. */
+	/** The priority rank, which takes precedence over all other ordering; 0 is the most urgent and the default. */
 	readonly rank?: number;
 	readonly className: string;
 	readonly classWeight: number;
-	/** The unit, or the target of a service. */
+	/** The key of the unit that the request needs, or the target of a service without models (`getServiceTarget`). */
 	readonly target: string;
 	readonly arrivedAt: number;
 	readonly deadlineAt: number;
-	/** Whether it may be dispatched again after an attempt that may have run. */
+	/** True if the request may be dispatched again after an attempt that may have run. */
 	readonly isRepeatable: boolean;
-	/** Whether a stream that has begun may go on at another upstream. */
+	/** True if a stream that has begun may be resumed on another upstream. */
 	readonly isResumable?: boolean;
-	/** Dispatches that may have run at most; undefined for no limit of its own. */
+	/** The maximum number of attempts that may have run; absent for no such limit. */
 	readonly maxRuns?: number;
-	/** Dispatches at most; undefined for the entry's own limit. */
+	/** The maximum number of dispatches; absent for the limit in the entry's settings. */
 	readonly maxAttempts?: number;
-	/** Requests with the same word share a retry budget. */
+	/** The name of the retry budget, which all requests with the same name share. */
 	readonly budget?: string;
 };
--- a/packages/admission/tests/admission.steps.ts
+++ b/packages/admission/tests/admission.steps.ts
@@ -53,7 +53,7 @@
 	}
 };
 
-/** Serves one request after another, each with one credit. */
+/** Serves the given number of requests one after another, each with one credit. */
 const serve = (world: AdmissionWorld, count: number): void => {
 	for (let index = 0; index < count; index += 1) {
 		world.now += 10;
@@ -123,11 +123,11 @@
 	assert.ok(Math.abs(count - expected) <= slack, `${count} of ${first}`);
 });
 
-Then('{int} of them were refused at once with code {int} and a time to come back', function (this: AdmissionWorld, count: number, code: number) {
+Then('{int} of them were refused at once with code {int} and a Retry-After time', function (this: AdmissionWorld, count: number, code: number) {
 	assert.equal(this.refused.length, count);
 	assert.ok(this.refused.every(refusal => refusal.code === code && refusal.outcome === 'not_run' && refusal.retryAfterMs > 0));
 });
 
-Then('it was tried at most {int} times in 2 seconds', function (this: AdmissionWorld, count: number) {
+Then('the upstream was tried at most {int} times in 2 seconds', function (this: AdmissionWorld, count: number) {
 	assert.ok(this.dispatched.length <= count, `tried ${this.dispatched.length} times`);
 });
--- a/packages/admission/tests/direct.feature
+++ b/packages/admission/tests/direct.feature
@@ -1,67 +1,67 @@
 Feature: Direct upstreams
-  An entry that reaches upstreams itself keeps their places, spares its retries, and passes over those that fail.
+  An entry that reaches upstreams directly keeps to their concurrency limits and to its retry budget, and avoids failing upstreams.
 
   Background:
-    Given an entry that reaches upstreams "one, two" itself, with 3 places each and 2 retries
+    Given an entry that reaches upstreams "one, two" directly, with a concurrency limit of 3 each and 2 retries
 
-  Scenario: Places are kept and given back
+  Scenario: Concurrency limits are kept, and a request that ends frees capacity
     When 8 requests arrive
     Then 6 are dispatched and 2 wait
     When a request at "one" ends
     Then 7 are dispatched and 1 waits
 
-  Scenario: A connection that is refused costs no retry, and the upstream is left out at once
+  Scenario: A refused connection costs no retry, and the upstream is ejected at once
     When "one" refuses connections and 8 requests arrive
     Then none is refused
-    And "one" was tried once
+    And one request was sent to "one"
 
-  Scenario: A refusal of an upstream that did not run the request costs a retry
+  Scenario: An upstream's refusal to run a request costs a retry
     When upstreams refuse every request before running it and 5 requests arrive one after the other
     Then 2 requests were sent a second time
     And every refusal says that the request did not run
 
-  Scenario: A request that may have run goes again no more often than its route allows
+  Scenario: A request that may have run is retried no more often than its route allows
     When upstreams fail every request after running it and 1 request that may run 2 times arrives
-    Then it was sent 2 times
-    And the refusal says that it may have run
+    Then the request was sent 2 times
+    And the refusal says that the request may have run
 
-  Scenario: An upstream that answers nothing is passed over
+  Scenario: An unresponsive upstream is deprioritised
     When 2 requests arrive
     And "two" answers and "one" is silent for 1000 ms
     And 2 requests arrive
     Then the last 2 were sent to "two"
 
-  Scenario: A stream that breaks goes on elsewhere where it may be resumed
+  Scenario: A resumable stream that breaks is resumed on another upstream
     When a resumable stream begins at an upstream and breaks
-    Then it was sent 2 times
+    Then the request was sent 2 times
 
-  Scenario: A stream that must not run twice is not sent again
+  Scenario: A broken stream that must not run twice is not sent again
     When a stream that runs once begins at an upstream and breaks
-    Then it was sent 1 times
-    And the refusal says that it may have run
+    Then the request was sent 1 times
+    And the refusal says that the request may have run
 
-  Scenario: The only upstream is left out once it answers nothing at all, so that its model is loaded elsewhere
-    Given an entry that reaches upstreams "one" itself, with 3 places each and 2 retries
+  Scenario: The only upstream is ejected once it is unresponsive, so that its model is loaded elsewhere
+    Given an entry that reaches upstreams "one" directly, with a concurrency limit of 3 each and 2 retries
     When 1 request arrives
-    And 1400 ms pass without an answer
+    And 1400 ms pass without a response
     And 1 request arrives
     Then 2 are dispatched and 0 wait
-    When 200 ms pass without an answer
-    Then the upstream is left out
+    When 200 ms pass without a response
+    Then the upstream is ejected
     When 1 request arrives
     Then 2 are dispatched and 1 waits
 
-  # Guards against requests beyond what an upstream that limits them may still get, sent within one turn.
-  Scenario: An upstream that limits its requests gets no more than may be sent, and the others go elsewhere or wait
+  # Guards against exceeding the rate limit of an upstream when several requests are dispatched after one event.
+  Scenario: An upstream gets no more requests than its rate limit allows, and other requests go elsewhere or wait
     Given "one" limits its requests to 1 a second, of which 2 may be sent now
     When 8 requests arrive
     Then 5 are dispatched and 3 wait
     And 2 were sent to "one"
 
-  # Guards against callers that wait for a turn that comes after they have left.
-  Scenario: A request whose turn at limited upstreams comes too late is refused at once
+  # Guards against requests that wait for a rate-limited upstream although they cannot be sent before their deadline.
+  Scenario: A request that rate limits would delay beyond its deadline is refused at once
     Given "one" limits its requests to 1 a second, of which 0 may be sent now
     And "two" limits its requests to 1 a second, of which 0 may be sent now
     When 25 requests arrive
     Then 0 are dispatched and 20 wait
-    And 5 were refused at once, to come back in no less than 10000 ms
+    And 5 were refused at once, with a Retry-After time of at least 10000 ms
--- a/packages/admission/tests/direct.steps.ts
+++ b/packages/admission/tests/direct.steps.ts
@@ -18,14 +18,14 @@
 		nextId: number;
 		dispatched: Dispatch[];
 		refused: Array<Extract<AdmissionEffect, {kind: 'refuse'}>>;
-		/** What an upstream does with a request as soon as it is sent. */
+		/** The reaction of an upstream to a request, applied as soon as the request is sent. */
 		getReaction: (dispatch: Dispatch) => AdmissionEvent | undefined;
 	};
 };
 
 const TARGET = 'service/s';
 
-/** One request fewer may be sent to an upstream that limits them. */
+/** Subtracts a sent request from what the rate limit of its upstream still allows. */
 const consumeSendLimit = ({direct}: DirectWorld, vm: string): void => {
 	const limit = direct.settings.sendLimits?.get(vm);
 	if (limit) {
@@ -72,7 +72,7 @@
 	take(world, {kind: 'started', requestId, attemptId});
 };
 
-Given('an entry that reaches upstreams {string} itself, with {int} places each and {int} retries', function (this: DirectWorld, names: string, places: number, retries: number) {
+Given('an entry that reaches upstreams {string} directly, with a concurrency limit of {int} each and {int} retries', function (this: DirectWorld, names: string, places: number, retries: number) {
 	this.direct = {
 		state: newAdmissionState(),
 		settings: {
@@ -117,7 +117,7 @@
 	assert.equal(this.direct.dispatched.filter(dispatch => dispatch.vm === vm).length, count);
 });
 
-Then('{int} were refused at once, to come back in no less than {int} ms', function (this: DirectWorld, count: number, leastMs: number) {
+Then('{int} were refused at once, with a Retry-After time of at least {int} ms', function (this: DirectWorld, count: number, leastMs: number) {
 	assert.equal(this.direct.refused.length, count);
 	assert.ok(this.direct.refused.every(({outcome, retryAfterMs}) => outcome === OUTCOME.NotRun && retryAfterMs >= leastMs));
 });
@@ -138,7 +138,7 @@
 	assert.equal(this.direct.refused.length, 0);
 });
 
-Then('{string} was tried once', function (this: DirectWorld, vm: string) {
+Then('one request was sent to {string}', function (this: DirectWorld, vm: string) {
 	assert.equal(this.direct.dispatched.filter(dispatch => dispatch.vm === vm).length, 1);
 });
 
@@ -164,11 +164,11 @@
 	arrive(this, {maxRuns: runs});
 });
 
-Then('it was sent {int} times', function (this: DirectWorld, count: number) {
+Then('the request was sent {int} times', function (this: DirectWorld, count: number) {
 	assert.equal(this.direct.dispatched.length, count);
 });
 
-Then('the refusal says that it may have run', function (this: DirectWorld) {
+Then('the refusal says that the request may have run', function (this: DirectWorld) {
 	assert.deepEqual(this.direct.refused.map(refusal => refusal.outcome), [OUTCOME.Unknown]);
 });
 
@@ -194,11 +194,11 @@
 	take(this, newFailure(this.direct.dispatched.at(-1)!, RESULT_CODE.AnswerCut, OUTCOME.Unknown));
 });
 
-When('{int} ms pass without an answer', function (this: DirectWorld, ms: number) {
+When('{int} ms pass without a response', function (this: DirectWorld, ms: number) {
 	this.direct.now += ms;
 	take(this, {kind: 'tick'});
 });
 
-Then('the upstream is left out', function (this: DirectWorld) {
+Then('the upstream is ejected', function (this: DirectWorld) {
 	assert.ok([...this.direct.state.lanes.values()].every(lane => lane.ejectedUntil > this.direct.now));
 });
--- a/packages/admission/tests/stop-simulation.ts
+++ b/packages/admission/tests/stop-simulation.ts
@@ -6,15 +6,15 @@
 	type AdmissionEffect, type AdmissionEvent, type AdmissionSettings, type AdmissionState, mutateAdmission, newAdmissionState,
 } from '@valelead/admission';
 
-/** A request of the model. Times in milliseconds. */
+/** A simulated request. Times in milliseconds. */
 type SimulatedRequest = {
 	readonly at: number;
 	readonly isRepeatable: boolean;
 	readonly deadlineMs: number;
 	readonly runMs: number;
-	/** Whether its first run breaks in the middle. */
+	/** True if the first run of the request fails halfway. */
 	readonly isBreaking: boolean;
-	/** The model that it needs. */
+	/** The model that the request needs. */
 	readonly target: string;
 };
 
@@ -23,11 +23,11 @@
 	readonly stopAt: number;
 	readonly graceMs: number;
 	readonly concurrencyLimit: number;
-	/** When each model is loaded. */
+	/** The time at which each model is loaded. */
 	readonly loadedAt: Readonly<Record<string, number>>;
 };
 
-/** How a request ended: at its upstream, refused, or cut off with the entry. */
+/** The end of a request: it ended at its upstream, was refused, or was aborted when the entry ended. */
 type RequestEnd = {
 	readonly kind: 'ended' | 'refused' | 'cut';
 	readonly at: number;
@@ -57,27 +57,27 @@
 	dataCentre: 'dc',
 };
 
-/** Plays the shipped admission in virtual time around a stop signal, up to the moment at which what is in progress is cut off. */
+/** Simulates an entry in virtual time with the real admission code, up to the time after a stop signal at which requests in progress are aborted. */
 export class StopSimulation {
-	/** By the position of the request. */
+	/** The ends of requests by the index of the request. */
 	readonly ends = new Map<number, RequestEnd[]>();
-	/** When requests were sent, by position. */
+	/** The times at which requests were sent, by the index of the request. */
 	readonly sentAt = new Map<number, number[]>();
-	/** When the requests' times are over, by position. */
+	/** The deadlines of requests by the index of the request. */
 	readonly deadlines = new Map<number, number>();
-	readonly #day: Scenario;
+	readonly #scenario: Scenario;
 	readonly #state: AdmissionState = newAdmissionState();
 	readonly #runs = new Map<string, Run>();
 
-	constructor(day: Scenario) {
-		this.#day = day;
+	constructor(scenario: Scenario) {
+		this.#scenario = scenario;
 	}
 
 	get endsAt(): number {
-		return this.#day.stopAt + this.#day.graceMs;
+		return this.#scenario.stopAt + this.#scenario.graceMs;
 	}
 
-	/** The last moment at which requests arrive. */
+	/** The time of the last step, after which no request arrives. */
 	get lastStepAt(): number {
 		return Math.ceil((this.endsAt / STEP_MS) - 1) * STEP_MS;
 	}
@@ -96,7 +96,7 @@
 	}
 
 	#step(now: number): void {
-		if (this.#isDue(this.#day.stopAt, now)) {
+		if (this.#isDue(this.#scenario.stopAt, now)) {
 			this.#take({kind: 'stop', endsAt: this.endsAt}, now);
 		}
 
@@ -105,7 +105,7 @@
 			this.#finish(run, now);
 		}
 
-		for (const [index, request] of this.#day.requests.entries()) {
+		for (const [index, request] of this.#scenario.requests.entries()) {
 			if (this.#isDue(request.at, now)) {
 				this.#arrive(index, request, now);
 			}
@@ -119,8 +119,8 @@
 	}
 
 	#getEndpoints(now: number): Map<string, Array<{vm: string; dataCentre: string; places: number}>> {
-		const loaded = Object.entries(this.#day.loadedAt).filter(([, at]) => at <= now);
-		return new Map(loaded.map(([target]) => [target, [{vm: 'u', dataCentre: 'dc', places: this.#day.concurrencyLimit}]]));
+		const loaded = Object.entries(this.#scenario.loadedAt).filter(([, at]) => at <= now);
+		return new Map(loaded.map(([target]) => [target, [{vm: 'u', dataCentre: 'dc', places: this.#scenario.concurrencyLimit}]]));
 	}
 
 	#arrive(index: number, request: SimulatedRequest, now: number): void {
@@ -188,7 +188,7 @@
 
 	#dispatch(dispatch: Dispatch, now: number): void {
 		const index = Number(dispatch.requestId);
-		const {runMs, isBreaking} = this.#day.requests[index];
+		const {runMs, isBreaking} = this.#scenario.requests[index];
 		const sent = this.sentAt.get(index) ?? [];
 		const isBroken = isBreaking && sent.length === 0;
 		this.sentAt.set(index, [...sent, now]);
--- a/packages/admission/tests/stopping.steps.ts
+++ b/packages/admission/tests/stopping.steps.ts
@@ -8,8 +8,8 @@
 type Request = Scenario['requests'][number];
 
 type StoppingWorld = {
-	/** Days that were played, each from its first request to the end of the entry. */
-	simulated: Array<{readonly day: Scenario; readonly model: StopSimulation}>;
+	/** The simulated scenarios, each from its first request to the end of the entry. */
+	simulated: Array<{readonly scenario: Scenario; readonly simulation: StopSimulation}>;
 	graceMs: number;
 };
 
@@ -31,7 +31,7 @@
 	requests: fc.array(REQUEST, {minLength: 1, maxLength: 40}),
 	stopAt: fc.integer({min: 0, max: 10_000}),
 	graceMs: fc.constantFrom(2000, 7750, 29_750),
-	places: fc.integer({min: 1, max: 8}),
+	concurrencyLimit: fc.integer({min: 1, max: 8}),
 	loadedAt: fc.record({common: fc.constant(0), rare: fc.integer({min: 0, max: 20_000})}),
 });
 
@@ -39,10 +39,10 @@
 	at: 0, isRepeatable: true, deadlineMs: 15_000, runMs: 1000, isBreaking: false, target: 'common', ...changes,
 });
 
-const simulate = (day: Scenario): {readonly day: Scenario; readonly model: StopSimulation} => {
-	const model = new StopSimulation(day);
-	model.run();
-	return {day, model};
+const simulate = (scenario: Scenario): {readonly scenario: Scenario; readonly simulation: StopSimulation} => {
+	const simulation = new StopSimulation(scenario);
+	simulation.run();
+	return {scenario, simulation};
 };
 
 const simulateRequests = (world: StoppingWorld, requests: readonly Request[]): void => {
@@ -51,40 +51,40 @@
 	})];
 };
 
-const getEndKinds = (model: StopSimulation): string[] => [...model.ends.entries()]
+const getEndKinds = (simulation: StopSimulation): string[] => [...simulation.ends.entries()]
 	.toSorted(([left], [right]) => left - right)
 	.map(([, [end]]) => end.kind);
 
-When('random requests, paces, failures and loads of models are played around a stop signal', function (this: StoppingWorld) {
-	this.simulated = fc.sample(SCENARIO, {numRuns: RUNS, seed: SEED}).map(day => simulate(day));
+When('random requests, durations, failures and model loads are simulated around a stop signal', function (this: StoppingWorld) {
+	this.simulated = fc.sample(SCENARIO, {numRuns: RUNS, seed: SEED}).map(scenario => simulate(scenario));
 });
 
-Then('no request that was first sent after the signal was cut off', function (this: StoppingWorld) {
-	for (const {day, model} of this.simulated) {
-		const cut = [...model.ends.entries()].filter(([, [end]]) => end.kind === 'cut').map(([index]) => index);
-		const late = cut.filter(index => model.sentAt.get(index)![0] > day.stopAt);
-		assert.deepEqual(late.map(index => day.requests[index]), []);
+Then('no request that was first sent after the signal was aborted', function (this: StoppingWorld) {
+	for (const {scenario, simulation} of this.simulated) {
+		const cut = [...simulation.ends.entries()].filter(([, [end]]) => end.kind === 'cut').map(([index]) => index);
+		const late = cut.filter(index => simulation.sentAt.get(index)![0] > scenario.stopAt);
+		assert.deepEqual(late.map(index => scenario.requests[index]), []);
 	}
 });
 
 Then('no request waited until the entry\'s end', function (this: StoppingWorld) {
-	for (const {model} of this.simulated) {
-		// A deadline after the last step passes with the entry's end.
-		const waiting = [...model.ends.entries()]
-			.filter(([index, [end]]) => end.at === model.endsAt && !model.sentAt.has(index) && model.deadlines.get(index)! <= model.lastStepAt);
+	for (const {simulation} of this.simulated) {
+		// A request whose deadline is after the last step may wait until the entry ends.
+		const waiting = [...simulation.ends.entries()]
+			.filter(([index, [end]]) => end.at === simulation.endsAt && !simulation.sentAt.has(index) && simulation.deadlines.get(index)! <= simulation.lastStepAt);
 		assert.deepEqual(waiting, []);
 	}
 });
 
-Then('every request has one end, and those that the entry turned away did not run', function (this: StoppingWorld) {
-	for (const {day, model} of this.simulated) {
-		const arrived = day.requests.filter(({at}) => at <= model.lastStepAt).length;
-		assert.equal(model.ends.size, arrived);
-		for (const [index, ends] of model.ends) {
+Then('every request has one end, and those that the stopping entry refused as not run did not run', function (this: StoppingWorld) {
+	for (const {scenario, simulation} of this.simulated) {
+		const arrived = scenario.requests.filter(({at}) => at <= simulation.lastStepAt).length;
+		assert.equal(simulation.ends.size, arrived);
+		for (const [index, ends] of simulation.ends) {
 			assert.equal(ends.length, 1);
 			const [{code, outcome}] = ends;
 			const isTurnedAway = code === RESULT_CODE.Draining && outcome === OUTCOME.NotRun;
-			assert.ok(!isTurnedAway || !model.sentAt.has(index));
+			assert.ok(!isTurnedAway || !simulation.sentAt.has(index));
 		}
 	}
 });
@@ -98,7 +98,7 @@
 });
 
 Then('those of 0, 4000 and 5000 ms were sent and the last one was refused', function (this: StoppingWorld) {
-	assert.deepEqual(getEndKinds(this.simulated[0].model), ['ended', 'ended', 'ended', 'refused']);
+	assert.deepEqual(getEndKinds(this.simulated[0].simulation), ['ended', 'ended', 'ended', 'refused']);
 });
 
 When('a repeatable request with a deadline of {int} ms is sent {int} ms before the signal and breaks after it', function (this: StoppingWorld, deadlineMs: number, beforeMs: number) {
@@ -108,7 +108,7 @@
 });
 
 Then('it was sent twice and ended', function (this: StoppingWorld) {
-	const [{model}] = this.simulated;
-	assert.equal(model.sentAt.get(0)?.length, 2);
-	assert.deepEqual(getEndKinds(model), ['ended']);
+	const [{simulation}] = this.simulated;
+	assert.equal(simulation.sentAt.get(0)?.length, 2);
+	assert.deepEqual(getEndKinds(simulation), ['ended']);
 });
