--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -6,7 +6,7 @@
 export type {SendLimit} from './send-limit.js';
 export type {TargetDemand} from './target-demand.js';
 export type {Ticket} from './ticket.js';
-export type {RequestLimits as TicketLimits} from './request-limits.js';
+export type {RequestLimits} from './request-limits.js';
 export {getServiceTarget} from './get-service-target.js';
 export {mutateTargetDemands} from './mutate-target-demands.js';
 export {mutateAdmission} from './mutate-admission.js';
--- a/packages/admission/src/mutate-unresponsive-lanes.ts
+++ b/packages/admission/src/mutate-unresponsive-lanes.ts
@@ -3,8 +3,8 @@
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
 
-const isUnresponsive = ({isDirect, unansweredSince, ejectedUntil}: AdmissionLane, darkMs: number, now: number): boolean =>
-	isDirect && now >= ejectedUntil && unansweredSince !== undefined && now - unansweredSince > darkMs;
+const isUnresponsive = ({isDirect, unansweredSince, ejectedUntil}: AdmissionLane, silenceMs: number, now: number): boolean =>
+	isDirect && now >= ejectedUntil && unansweredSince !== undefined && now - unansweredSince > silenceMs;
 
 /**
  * Ejects upstreams that no longer answer any request. A machine that lost power leaves requests on open connections unanswered, and it takes
--- a/packages/answer/tests/events.steps.ts
+++ b/packages/answer/tests/events.steps.ts
@@ -3,7 +3,7 @@
 import {Then, When} from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {
-	ANSWER_DEFECT, type AnswerDefectValue, type AnswerFramingValue, EventSplitter, getAnswerDefect,
+	ANSWER_DEFECT, type ResponseDefectValue, type AnswerFramingValue, EventSplitter, getResponseDefect,
 } from '@valelead/answer';
 
 type Event = {
@@ -22,7 +22,7 @@
 
 type EventsWorld = {
 	streams: SplitStream[];
-	defect: AnswerDefectValue | undefined;
+	defect: ResponseDefectValue | undefined;
 };
 
 const RUNS = 500;
@@ -89,7 +89,7 @@
 });
 
 /** The state of the event scanner at the end of the response, by the place named in the examples. */
-const PLACES: Readonly<Record<string, Parameters<typeof getAnswerDefect>[0]['events']>> = {
+const PLACES: Readonly<Record<string, Parameters<typeof getResponseDefect>[0]['events']>> = {
 	'outside an event': {hasEvents: true, isOutsideEvent: true},
 	'inside an event': {hasEvents: true, isOutsideEvent: false},
 	'before the first event': {hasEvents: false, isOutsideEvent: true},
@@ -97,7 +97,7 @@
 };
 
 When('a response\'s framing is {string}, it is {string}, and it ended {string}', function (this: EventsWorld, framing: AnswerFramingValue, completeness: string, place: string) {
-	this.defect = getAnswerDefect({
+	this.defect = getResponseDefect({
 		framing, isComplete: completeness !== 'incomplete', isEndedWithData: completeness === 'ended in the same turn', events: PLACES[place],
 	});
 });
