--- a/packages/admission/tests/direct.feature
+++ b/packages/admission/tests/direct.feature
@@ -2,7 +2,7 @@
   An entry that reaches upstreams directly keeps to their concurrency limits and to its retry budget, and avoids failing upstreams.
 
   Background:
-    Given an entry that reaches upstreams "one, two" directly, with a concurrency limit of 3 each and 2 retries
+    Given an entry that reaches upstreams "one, two" directly, with a limit of 3 requests each and 2 retries
 
   Scenario: Concurrency limits are kept, and a request that ends frees capacity
     When 8 requests arrive
@@ -41,7 +41,7 @@
     And the refusal says that the request may have run
 
   Scenario: The only upstream is ejected once it is unresponsive, so that its model is loaded elsewhere
-    Given an entry that reaches upstreams "one" directly, with a concurrency limit of 3 each and 2 retries
+    Given an entry that reaches upstreams "one" directly, with a limit of 3 requests each and 2 retries
     When 1 request arrives
     And 1400 ms pass without a response
     And 1 request arrives
--- a/packages/admission/tests/direct.steps.ts
+++ b/packages/admission/tests/direct.steps.ts
@@ -72,7 +72,7 @@
 	take(world, {kind: 'started', requestId, attemptId});
 };
 
-Given('an entry that reaches upstreams {string} directly, with a concurrency limit of {int} each and {int} retries', function (this: DirectWorld, names: string, concurrencyLimit: number, retries: number) {
+Given('an entry that reaches upstreams {string} directly, with a limit of {int} requests each and {int} retries', function (this: DirectWorld, names: string, limit: number, retries: number) {
 	this.direct = {
 		state: newAdmissionState(),
 		settings: {
@@ -96,7 +96,7 @@
 		refused: [],
 		getReaction: () => undefined,
 	};
-	take(this, {kind: 'endpoints', endpoints: new Map([[TARGET, names.split(', ').map(vm => ({vm, dataCentre: 'dc', places: concurrencyLimit}))]])});
+	take(this, {kind: 'endpoints', endpoints: new Map([[TARGET, names.split(', ').map(vm => ({vm, dataCentre: 'dc', places: limit}))]])});
 });
 
 When('{int} request(s) arrive(s)', function (this: DirectWorld, count: number) {
