--- a/apps/valelead-daemon/tests/answer-ends.steps.ts
+++ b/apps/valelead-daemon/tests/answer-ends.steps.ts
@@ -4,17 +4,17 @@
 import * as fc from 'fast-check';
 import type {ValeleadError} from '@valelead/common';
 import {HttpUpstream} from '@valelead/engine';
-import {AnswerSource} from './answer-source.js';
+import {ResponseSource} from './response-source.js';
 import {sendAttempt} from './send-attempt.js';
 import {type EngineCodec, EngineClient, UpstreamAgent} from 'valelead-daemon';
 
-type Answer = ConstructorParameters<typeof AnswerSource>[0];
+type Response = ConstructorParameters<typeof ResponseSource>[0];
 
 type EndsWorld = {
 	end: string;
-	/** What became of the connection of an answer that was cut. */
+	/** The state of the connection after a truncated response. */
 	connection: string | undefined;
-	/** Answers that were taken for another end than theirs. */
+	/** Descriptions of the responses whose end was not classified as expected. */
 	mistaken: string[];
 };
 
@@ -27,13 +27,13 @@
 const PART = 'id: 2\ndata';
 const LAST_CHUNK = '0\r\n\r\n';
 
-/** What Node reads from a connection at once, in bytes. */
+/** The most that Node reads from a connection at once, in bytes. */
 const READ_BYTES = 65_536;
 
 const newChunk = (text: string): string => `${text.length.toString(16)}\r\n${text}\r\n`;
 const newLength = (text: string): string => `${STREAM}content-length: ${text.length}\r\n\r\n${text}`;
 
-const ANSWERS: Readonly<Record<string, Answer>> = {
+const RESPONSES: Readonly<Record<string, Response>> = {
 	'unframed, reset right after its head': {bytes: `${HEAD}\r\n`, end: 'reset'},
 	'unframed, closed in order': {bytes: `${HEAD}\r\nok`, end: 'close'},
 	'unframed and empty, closed in order': {bytes: `${HEAD}\r\n`, end: 'close'},
@@ -72,7 +72,7 @@
 	'without a body, as its status says': {bytes: 'HTTP/1.1 204 No Content\r\nid: 1\r\n\r\n', end: 'close'},
 };
 
-/** Reads JSON, as codecs do. */
+/** A codec that decodes a status from JSON, as the codecs of engines do. */
 const STATUS_CODEC = {
 	newStatusCall: () => ({
 		method: 'GET', path: '/', headers: {}, body: '',
@@ -83,14 +83,14 @@
 
 const CALL_TIMEOUT_MS = 1000;
 
-/** The result code of an answer that was broken off. */
-const CUT = '3005 unknown';
+/** The result code and the outcome of a truncated response. */
+const TRUNCATED_RESULT = '3005 unknown';
 
-/** Random streams, each of which is broken off in some hundred places. */
+/** Number of random streams. Each of them is truncated at some hundred positions. */
 const STREAMS = 8;
 const SEED = 55;
 
-/** Connections that are open at once. */
+/** Number of connections that are open at once. */
 const PARALLEL = 16;
 
 const BROKEN_ENDS = ['late close', 'reset'] as const;
@@ -105,7 +105,7 @@
 
 type RandomStream = {
 	readonly bytes: Buffer;
-	/** The lengths at which the stream is outside an event, and whether one has ended before. */
+	/** The lengths at which the stream is outside an event; the value is true if an event has ended before. */
 	readonly outside: ReadonlyMap<number, boolean>;
 };
 
@@ -113,7 +113,7 @@
 
 type SentEnd = Parameters<Parameters<typeof sendAttempt>[2]>[0];
 
-type Cut = Answer & {
+type Truncation = Response & {
 	readonly name: string;
 	readonly isWhole: boolean;
 };
@@ -123,7 +123,7 @@
 	const outside = new Map([[0, false], [Buffer.byteLength(text), false]]);
 	const noteOutside = (hasEvents: boolean): void => {
 		outside.set(Buffer.byteLength(text), hasEvents);
-		// A return ends its line, whether or not a line feed belongs to it.
+		// A carriage return ends its line, whether or not a line feed follows.
 		if (lineEnd === '\r\n') {
 			outside.set(Buffer.byteLength(text) - 1, hasEvents);
 		}
@@ -159,13 +159,13 @@
 	}
 };
 
-/** All places and ways to break a stream off, and its whole self. */
-const newCuts = ({bytes, outside}: RandomStream): Cut[] => {
-	const cuts: Cut[] = [];
+/** Returns the stream truncated at each position and in each way, and the complete stream. */
+const newTruncations = ({bytes, outside}: RandomStream): Truncation[] => {
+	const cuts: Truncation[] = [];
 	for (const framing of ['connection', 'chunks', 'length'] as const) {
 		for (let length = 0; length <= bytes.length; length += 1) {
 			const body = bytes.subarray(0, length);
-			const newCut = (end: Answer['end'], isEnded: boolean, isWhole: boolean): Cut => ({
+			const newTruncation = (end: Response['end'], isEnded: boolean, isWhole: boolean): Truncation => ({
 				name: `${framing}, ${length} of ${bytes.length} bytes of ${JSON.stringify(bytes.toString())}, ${end}${isEnded ? ', framing complete' : ''}`,
 				bytes: newFramed(framing, body, isEnded ? length : bytes.length, isEnded),
 				end,
@@ -173,13 +173,13 @@
 			});
 			if (framing === 'connection') {
 				const isWhole = outside.get(length) === true;
-				cuts.push(newCut('late close', false, isWhole), newCut('close', false, isWhole), newCut('reset', false, false));
+				cuts.push(newTruncation('late close', false, isWhole), newTruncation('close', false, isWhole), newTruncation('reset', false, false));
 				continue;
 			}
 
-			cuts.push(newCut('keep', true, outside.has(length)));
+			cuts.push(newTruncation('keep', true, outside.has(length)));
 			if (framing === 'chunks' || length < bytes.length) {
-				cuts.push(...BROKEN_ENDS.map(end => newCut(end, false, false)));
+				cuts.push(...BROKEN_ENDS.map(end => newTruncation(end, false, false)));
 			}
 		}
 	}
@@ -187,8 +187,8 @@
 	return cuts;
 };
 
-const send = async (answer: Answer): Promise<SentEnd> => {
-	const source = new AnswerSource(answer);
+const send = async (response: Response): Promise<SentEnd> => {
+	const source = new ResponseSource(response);
 	const agent = new UpstreamAgent(1);
 	const port = await source.listen();
 	const end = await new Promise<SentEnd>(resolve => {
@@ -199,22 +199,22 @@
 	return end;
 };
 
-When('an upstream sends an answer that is {string}', async function (this: EndsWorld, name: string) {
-	const {end, connection} = await send(ANSWERS[name]);
+When('an upstream sends a response that is {string}', async function (this: EndsWorld, name: string) {
+	const {end, connection} = await send(RESPONSES[name]);
 	this.end = end;
 	this.connection = connection;
 });
 
-Then('the answer ends as {string}', function (this: EndsWorld, end: string) {
-	assert.equal(this.end, end === 'whole' ? 'whole' : CUT);
+Then('the response ends as {string}', function (this: EndsWorld, end: string) {
+	assert.equal(this.end, end === 'whole' ? 'whole' : TRUNCATED_RESULT);
 });
 
-Then('the answer ends as "cut" and its connection is {string}', function (this: EndsWorld, connection: string) {
-	assert.deepEqual([this.end, this.connection], [CUT, connection]);
+Then('the response ends as "cut" and its connection is {string}', function (this: EndsWorld, connection: string) {
+	assert.deepEqual([this.end, this.connection], [TRUNCATED_RESULT, connection]);
 });
 
-When('random streams are sent in each framing, broken off at each byte and in each way', {timeout: 60_000}, async function (this: EndsWorld) {
-	const cuts = fc.sample(RANDOM_STREAM, {numRuns: STREAMS, seed: SEED}).flatMap(stream => newCuts(newStream(stream)));
+When('random streams are sent in each framing, truncated at each byte and in each way', {timeout: 60_000}, async function (this: EndsWorld) {
+	const cuts = fc.sample(RANDOM_STREAM, {numRuns: STREAMS, seed: SEED}).flatMap(stream => newTruncations(newStream(stream)));
 	this.mistaken = [];
 	const sendNext = async (): Promise<void> => {
 		for (let cut = cuts.pop(); cut; cut = cuts.pop()) {
@@ -228,12 +228,12 @@
 	await Promise.all(Array.from({length: PARALLEL}, sendNext));
 });
 
-Then('only those are taken for whole that ended outside an event in a complete framing, or with their connection after an event', function (this: EndsWorld) {
+Then('only streams that ended outside an event in a complete framing, or with their connection after an event, are accepted as complete', function (this: EndsWorld) {
 	assert.equal(this.mistaken.length, 0, `${this.mistaken.length}: ${this.mistaken.slice(0, 5).join('\n')}`);
 });
 
 const withSource = async <Result>(name: string, ask: (port: number) => Promise<Result>): Promise<Result> => {
-	const source = new AnswerSource(ANSWERS[name]);
+	const source = new ResponseSource(RESPONSES[name]);
 	try {
 		return await ask(await source.listen());
 	} finally {
@@ -241,7 +241,7 @@
 	}
 };
 
-When('an agent\'s upstream sends an answer that is {string}', async function (this: EndsWorld, name: string) {
+When('an agent\'s upstream sends a response that is {string}', async function (this: EndsWorld, name: string) {
 	this.end = await withSource(name, async port => {
 		const {body} = await new HttpUpstream('127.0.0.1', port, CALL_TIMEOUT_MS).send({
 			requestId: '1', attemptId: '1.1', team: 't', priority: 0, method: 'POST', path: '/', contentType: '', body: Buffer.from('x'), remainingMs: CALL_TIMEOUT_MS,
@@ -259,7 +259,7 @@
 	});
 });
 
-When('an engine tells its status in an answer that is {string}', async function (this: EndsWorld, name: string) {
+When('an engine sends its status in a response that is {string}', async function (this: EndsWorld, name: string) {
 	this.end = await withSource(name, async port => {
 		const client = new EngineClient(`127.0.0.1:${port}`, STATUS_CODEC);
 		try {
@@ -273,6 +273,6 @@
 	});
 });
 
-Then('the sidecar takes none', function (this: EndsWorld) {
+Then('the sidecar rejects the status', function (this: EndsWorld) {
 	assert.equal(this.end, 'refused');
 });
--- a/apps/valelead-daemon/tests/answer-source.ts
+++ b/apps/valelead-daemon/tests/response-source.ts
@@ -4,34 +4,34 @@
 	type AddressInfo, type Socket, createServer,
 } from 'node:net';
 
-/** How an upstream ends the connection after its bytes. */
+/** How an upstream ends the connection after it has sent its bytes. */
 type ConnectionEnd = 'keep' | 'close' | 'reset' | 'late close' | 'late reset';
 
-type SourceAnswer = {
+type SourceResponse = {
 	readonly bytes: Uint8Array | string;
-	/** Sent some time after the others, with the end. */
+	/** Bytes that are sent `LATE_MS` after the first ones, directly before the connection ends. */
 	readonly laterBytes?: string;
 	readonly end: ConnectionEnd;
 };
 
-/** For bytes to be read before the connection ends, in milliseconds. */
+/** Delay of a late end, in milliseconds, so that the receiver reads the bytes before the connection ends. */
 const LATE_MS = 20;
 
-/** An upstream that answers each connection with the same bytes and the same end. */
-export class AnswerSource {
+/** A test upstream that answers each connection with the same bytes and then ends it in the same way. */
+export class ResponseSource {
 	readonly #server = createServer(socket => {
 		this.#sockets.add(socket);
 		socket.on('error', () => undefined);
 		socket.once('data', () => {
-			this.#answer(socket);
+			this.#respond(socket);
 		});
 	});
 
 	readonly #sockets = new Set<Socket>();
-	readonly #sent: SourceAnswer;
+	readonly #sent: SourceResponse;
 
-	constructor(answer: SourceAnswer) {
-		this.#sent = answer;
+	constructor(response: SourceResponse) {
+		this.#sent = response;
 	}
 
 	async listen(): Promise<number> {
@@ -47,7 +47,7 @@
 		}
 	}
 
-	#answer(socket: Socket): void {
+	#respond(socket: Socket): void {
 		const {bytes, laterBytes} = this.#sent;
 		socket.write(Buffer.from(bytes));
 		if (laterBytes === undefined) {
--- a/packages/admission/src/admission-state.ts
+++ b/packages/admission/src/admission-state.ts
@@ -2,28 +2,32 @@
 import type {AdmissionLane} from './admission-lane.js';
 import type {RequestRecord} from './request-record.js';
 import type {RetryBudget} from './retry-budget.js';
-import type {TargetSpeed} from './target-speed.js';
+import type {DispatchInterval} from './dispatch-interval.js';
 import type {TeamUsage} from './team-usage.js';
 
-/** The state of an entry's queues. */
+/** The state of an entry's admission: its requests, queues, upstreams and retry budgets. Times are monotonic milliseconds. */
 export type AdmissionState = {
 	readonly requests: Map<string, RequestRecord>;
-	/** Waiting requests by target. */
+	/** The waiting requests by target. */
 	readonly queues: Map<string, RequestRecord[]>;
 	readonly teams: Map<string, TeamUsage>;
+	/** The number of waiting requests by class. */
 	readonly classWaiting: Map<string, number>;
+	/** The state kept about each VM, by VM. */
 	readonly lanes: Map<string, AdmissionLane>;
+	/** The VMs that can serve each target, by target. */
 	endpoints: ReadonlyMap<string, readonly AdmissionEndpoint[]>;
-	readonly speeds: Map<string, TargetSpeed>;
-	/** Arrivals by target since they were last reported. */
+	readonly dispatchIntervals: Map<string, DispatchInterval>;
+	/** The number of requests that arrived since the last report, by target. */
 	readonly arrivals: Map<string, number>;
-	/** When what is still in progress is broken off; undefined until the entry is told to stop. */
+	/** The time at which requests still in progress are aborted; undefined until the entry is told to stop. */
 	endsAt: number | undefined;
-	/** The least time after which a refused caller is asked back, in milliseconds. */
-	readonly leastRetryAfterMs: number;
-	/** By name. */
+	/** The minimum Retry-After time of a refusal, in milliseconds. */
+	readonly minRetryAfterMs: number;
+	/** The retry budgets by name. */
 	readonly retryBudgets: Map<string, RetryBudget>;
-	/** The service that the least served waiting team has received. */
+	/** The virtual time of weighted fair queueing: the service, divided by weight, that the least served waiting team has received. */
 	virtualTime: number;
+	/** The earliest deadline of a request whose response has not begun; infinite if there is none. */
 	nextDeadlineAt: number;
 };
--- a/packages/admission/src/get-best-lane.ts
+++ b/packages/admission/src/get-best-lane.ts
@@ -7,24 +7,24 @@
 
 type LaneSearch = {
 	readonly target: string;
-	/** Requests that may still be sent to upstreams that limit them, by VM. */
+	/** The number of requests that may still be sent to each upstream that limits its request rate, by VM. */
 	readonly sendsLeft: ReadonlyMap<string, number>;
 };
 
-/** Requests in progress that outweigh an upstream in another data centre. */
-const FAR_PENALTY = 2;
+/** Penalty of an upstream in another data centre, in requests in progress. */
+const REMOTE_PENALTY = 2;
 
-/** Requests in progress that outweigh an upstream that answers nothing. */
-const SILENCE_PENALTY = 100;
+/** Penalty of an upstream that has left all requests unanswered for the time in the settings, in requests in progress. */
+const UNANSWERED_PENALTY = 100;
 
-/** Requests in progress that outweigh one recent failure. */
+/** Penalty for each recent failure of an upstream, in requests in progress. */
 const FAILURE_PENALTY = 4;
 
-const hasPlace = (lane: AdmissionLane, endpoint: AdmissionEndpoint): boolean => endpoint.places === undefined ? lane.credits.length > 0 : lane.inProgress < endpoint.places;
+const hasCapacity = (lane: AdmissionLane, endpoint: AdmissionEndpoint): boolean => endpoint.places === undefined ? lane.credits.length > 0 : lane.inProgress < endpoint.places;
 
 const isUsable = (lane: AdmissionLane, endpoint: AdmissionEndpoint, target: string, now: number): boolean => {
 	const isProbing = lane.ejections > 0 && lane.inProgress > 0;
-	return hasPlace(lane, endpoint) && now >= lane.ejectedUntil && !isProbing && now >= (lane.avoided.get(target) ?? 0);
+	return hasCapacity(lane, endpoint) && now >= lane.ejectedUntil && !isProbing && now >= (lane.avoided.get(target) ?? 0);
 };
 
 const isUnanswered = (lane: AdmissionLane, settings: AdmissionSettings, now: number): boolean => {
@@ -33,22 +33,23 @@
 };
 
 const getScore = (lane: AdmissionLane, endpoint: AdmissionEndpoint, settings: AdmissionSettings, now: number): number => {
-	const farPenalty = endpoint.dataCentre === settings.dataCentre ? 0 : FAR_PENALTY;
-	const silencePenalty = isUnanswered(lane, settings, now) ? SILENCE_PENALTY : 0;
-	return lane.inProgress + (endpoint.othersInProgress ?? 0) + farPenalty + silencePenalty + (lane.failures * FAILURE_PENALTY);
+	const remotePenalty = endpoint.dataCentre === settings.dataCentre ? 0 : REMOTE_PENALTY;
+	const unansweredPenalty = isUnanswered(lane, settings, now) ? UNANSWERED_PENALTY : 0;
+	return lane.inProgress + (endpoint.othersInProgress ?? 0) + remotePenalty + unansweredPenalty + (lane.failures * FAILURE_PENALTY);
 };
 
 /**
- * The agent that gets the next request for a target: the one with least outstanding work as this
- * entry knows it, near ones first. An upstream that failed lately gets one probe at a time.
+ * Chooses the VM that receives the next request of a target: the one with the fewest requests in progress, as far as this entry knows, with penalties for remote,
+ * unanswering and failing upstreams. An upstream that was ejected gets one request at a time until one succeeds. Returns undefined if no VM
+ * can take a request now.
  */
 export const getBestLane = (state: AdmissionState, settings: AdmissionSettings, {target, sendsLeft}: LaneSearch, now: number): BestLane | undefined => {
 	let best: BestLane | undefined;
 	let bestScore = Number.POSITIVE_INFINITY;
 	for (const endpoint of state.endpoints.get(target) ?? []) {
 		const lane = endpoint.places === undefined ? state.lanes.get(endpoint.vm) : getLane(state, endpoint.vm);
-		const isSpent = (sendsLeft.get(endpoint.vm) ?? 1) < 1;
-		if (!lane || isSpent || !isUsable(lane, endpoint, target, now)) {
+		const isLimitReached = (sendsLeft.get(endpoint.vm) ?? 1) < 1;
+		if (!lane || isLimitReached || !isUsable(lane, endpoint, target, now)) {
 			continue;
 		}
 
--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -1,23 +1,23 @@
 import {assertNever, OUTCOME} from '@valelead/common';
 import {getLane} from './get-lane.js';
-import {mutateAnswered} from './mutate-answered.js';
+import {mutateLaneAnswered} from './mutate-lane-answered.js';
 import {mutateArrival} from './mutate-arrival.js';
-import {mutateDarkLanes} from './mutate-dark-lanes.js';
-import {mutateDeadlines} from './mutate-deadlines.js';
+import {mutateUnresponsiveLanes} from './mutate-unresponsive-lanes.js';
+import {mutateExpiredRequests} from './mutate-expired-requests.js';
 import {mutateDispatches} from './mutate-dispatches.js';
-import {mutateEnd} from './mutate-end.js';
-import {mutateRefused} from './mutate-refused.js';
-import {mutateFailure} from './mutate-failure.js';
-import {mutateRequest} from './mutate-request.js';
-import {mutateTurnedAway} from './mutate-turned-away.js';
-import {newWants} from './new-wants.js';
+import {mutateRequestEnd} from './mutate-request-end.js';
+import {mutateRequestRefusal} from './mutate-request-refusal.js';
+import {mutateAttemptFailure} from './mutate-attempt-failure.js';
+import {mutateRequestState} from './mutate-request-state.js';
+import {mutateStopRefusals} from './mutate-stop-refusals.js';
+import {newCreditRequests} from './new-credit-requests.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionEvent} from './admission-event.js';
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** The request of an attempt, unless the attempt is no longer its present one. */
+/** Returns the request of an attempt, or undefined if the request has ended or the attempt is no longer its current one. */
 const getCurrent = (state: AdmissionState, requestId: string, attemptId: string): RequestRecord | undefined => {
 	const record = state.requests.get(requestId);
 	return record?.attemptId === attemptId && record.state !== 'waiting' ? record : undefined;
@@ -26,8 +26,8 @@
 const mutateStarted = (state: AdmissionState, requestId: string, attemptId: string, now: number): void => {
 	const record = getCurrent(state, requestId, attemptId);
 	if (record?.state === 'sent') {
-		mutateAnswered(getLane(state, record.vm), now);
-		mutateRequest(record, 'start');
+		mutateLaneAnswered(getLane(state, record.vm), now);
+		mutateRequestState(record, 'start');
 	}
 };
 
@@ -40,12 +40,12 @@
 	const lane = getLane(state, record.vm);
 	lane.failures = 0;
 	lane.ejections = 0;
-	mutateAnswered(lane, now);
+	mutateLaneAnswered(lane, now);
 	if (record.state === 'sent') {
-		mutateRequest(record, 'start');
+		mutateRequestState(record, 'start');
 	}
 
-	mutateEnd(state, record, 'finish');
+	mutateRequestEnd(state, record, 'finish');
 };
 
 const mutateAbandoned = (state: AdmissionState, requestId: string): AdmissionEffect[] => {
@@ -55,7 +55,7 @@
 	}
 
 	const isSent = record.state !== 'waiting';
-	mutateEnd(state, record, 'abandon');
+	mutateRequestEnd(state, record, 'abandon');
 	return isSent
 		? [{
 			kind: 'cancel', requestId, attemptId: record.attemptId, vm: record.vm,
@@ -81,7 +81,7 @@
 
 		case 'giveUp': {
 			const record = state.requests.get(event.requestId);
-			return record?.state === 'waiting' ? mutateRefused(state, record, event.code, OUTCOME.NotRun, event.retryAfterMs) : [];
+			return record?.state === 'waiting' ? mutateRequestRefusal(state, record, event.code, OUTCOME.NotRun, event.retryAfterMs) : [];
 		}
 
 		case 'stop': {
@@ -91,7 +91,7 @@
 
 		case 'refuseAll': {
 			const waiting = [...state.requests.values()].filter(record => record.state === 'waiting');
-			return waiting.flatMap(record => mutateRefused(state, record, event.code, OUTCOME.NotRun));
+			return waiting.flatMap(record => mutateRequestRefusal(state, record, event.code, OUTCOME.NotRun));
 		}
 
 		case 'credits': {
@@ -122,11 +122,11 @@
 
 		case 'failed': {
 			const record = getCurrent(state, event.requestId, event.attemptId);
-			return record ? mutateFailure(state, settings, record, event, now) : [];
+			return record ? mutateAttemptFailure(state, settings, record, event, now) : [];
 		}
 
 		case 'tick': {
-			mutateDarkLanes(state, settings, now);
+			mutateUnresponsiveLanes(state, settings, now);
 			return [];
 		}
 
@@ -136,9 +136,12 @@
 	}
 };
 
-/** Advances an entry's admission by one event at its monotonic time in milliseconds, and returns what must be done. */
+/**
+ * Applies an event to the state of an entry's admission and returns the actions that the entry must carry out.
+ * @param now - The time of the event, in monotonic milliseconds.
+ */
 export const mutateAdmission = (state: AdmissionState, settings: AdmissionSettings, event: AdmissionEvent, now: number): AdmissionEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
-	effects.push(...mutateDeadlines(state, settings, now), ...mutateTurnedAway(state), ...mutateDispatches(state, settings, now), ...newWants(state, now));
+	effects.push(...mutateExpiredRequests(state, settings, now), ...mutateStopRefusals(state), ...mutateDispatches(state, settings, now), ...newCreditRequests(state, now));
 	return effects;
 };
--- a/packages/admission/src/mutate-unqueued.ts
+++ b/packages/admission/src/mutate-dequeued.ts
@@ -2,12 +2,12 @@
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Takes a request out of its queue. */
-export const mutateUnqueued = (state: AdmissionState, record: RequestRecord): void => {
-	const queue = state.queues.get(record.ticket.target) ?? [];
+/** Removes a request from its target's queue. */
+export const mutateDequeued = (state: AdmissionState, record: RequestRecord): void => {
+	const queue = state.queues.get(record.request.target) ?? [];
 	queue.splice(queue.indexOf(record), 1);
 	if (queue.length === 0) {
-		state.queues.delete(record.ticket.target);
+		state.queues.delete(record.request.target);
 	}
 
 	mutateWaitingCount(state, record, -1);
--- a/packages/admission/src/mutate-deadlines.ts
+++ b/packages/admission/src/mutate-expired-requests.ts
@@ -1,22 +1,22 @@
 import {OUTCOME, RESULT_CODE} from '@valelead/common';
 import {getLane} from './get-lane.js';
 import {mutateLaneFailure} from './mutate-lane-failure.js';
-import {mutateRefused} from './mutate-refused.js';
+import {mutateRequestRefusal} from './mutate-request-refusal.js';
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** A request that an upstream left without any answer until its time was over counts against the upstream. */
-const mutateUnanswered = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, now: number): void => {
+/** Records a failure of an upstream that left a request unanswered until its deadline. */
+const mutateUnansweredLane = (state: AdmissionState, settings: AdmissionSettings, record: RequestRecord, now: number): void => {
 	const lane = getLane(state, record.vm);
 	if (record.state === 'sent' && lane.isDirect) {
 		mutateLaneFailure(lane, settings, {isUnreachable: false}, now);
 	}
 };
 
-/** Refuses the requests whose time has run out before their answer began. */
-export const mutateDeadlines = (state: AdmissionState, settings: AdmissionSettings, now: number): AdmissionEffect[] => {
+/** Refuses the requests whose deadline passed before their response began. */
+export const mutateExpiredRequests = (state: AdmissionState, settings: AdmissionSettings, now: number): AdmissionEffect[] => {
 	if (now < state.nextDeadlineAt) {
 		return [];
 	}
@@ -28,16 +28,16 @@
 			continue;
 		}
 
-		if (record.ticket.deadlineAt > now) {
-			nextDeadlineAt = Math.min(nextDeadlineAt, record.ticket.deadlineAt);
+		if (record.request.deadlineAt > now) {
+			nextDeadlineAt = Math.min(nextDeadlineAt, record.request.deadlineAt);
 			continue;
 		}
 
-		mutateUnanswered(state, settings, record, now);
-		const isServed = (state.endpoints.get(record.ticket.target)?.length ?? 0) > 0;
+		mutateUnansweredLane(state, settings, record, now);
+		const isServed = (state.endpoints.get(record.request.target)?.length ?? 0) > 0;
 		const outcome = record.state === 'waiting' ? OUTCOME.NotRun : OUTCOME.Unknown;
 		const code = isServed || record.state !== 'waiting' ? RESULT_CODE.DeadlineExceeded : RESULT_CODE.NoUpstream;
-		effects.push(...mutateRefused(state, record, code, outcome));
+		effects.push(...mutateRequestRefusal(state, record, code, outcome));
 	}
 
 	state.nextDeadlineAt = nextDeadlineAt;
--- a/packages/admission/src/mutate-released.ts
+++ b/packages/admission/src/mutate-request-release.ts
@@ -1,17 +1,17 @@
 import {getLane} from './get-lane.js';
 import {getTeamUsage} from './get-team-usage.js';
-import {mutateUnqueued} from './mutate-unqueued.js';
+import {mutateDequeued} from './mutate-dequeued.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RequestRecord} from './request-record.js';
 
-/** Takes a request out of the queue or from its upstream. */
-export const mutateReleased = (state: AdmissionState, record: RequestRecord): void => {
+/** Removes a request from its queue, or from the requests in progress of its team and VM. */
+export const mutateRequestRelease = (state: AdmissionState, record: RequestRecord): void => {
 	if (record.state === 'waiting') {
-		mutateUnqueued(state, record);
+		mutateDequeued(state, record);
 		return;
 	}
 
-	getTeamUsage(state, record.ticket.team).inProgress -= 1;
+	getTeamUsage(state, record.request.team).inProgress -= 1;
 	const lane = getLane(state, record.vm);
 	lane.inProgress -= 1;
 	if (lane.inProgress === 0) {
--- a/packages/admission/src/mutate-retry-tokens.ts
+++ b/packages/admission/src/mutate-retry-tokens.ts
@@ -3,10 +3,10 @@
 import type {AdmissionState} from './admission-state.js';
 import type {Ticket} from './ticket.js';
 
-/** Adds to the retry budget of a request, or takes from it. */
-export const mutateRetryTokens = (state: AdmissionState, settings: AdmissionSettings, ticket: Ticket, change: number, now: number): void => {
-	const budget = getRetryBudget(state, settings, ticket, now);
-	state.retryBudgets.set(ticket.budget ?? '', {
+/** Adds tokens to the retry budget of a request, or removes tokens if the change is negative. */
+export const mutateRetryTokens = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, change: number, now: number): void => {
+	const budget = getRetryBudget(state, settings, request, now);
+	state.retryBudgets.set(request.budget ?? '', {
 		...budget, tokens: Math.min(settings.maxRetryTokens, budget.tokens + change), spent: budget.spent + Math.max(0, -change),
 	});
 };
--- a/packages/admission/src/mutate-target-demands.ts
+++ b/packages/admission/src/mutate-target-demands.ts
@@ -1,7 +1,7 @@
 import type {AdmissionState} from './admission-state.js';
 import type {TargetDemand} from './target-demand.js';
 
-/** What waits for each target, and what arrived since the last call. */
+/** Returns the demand for each target that has waiting requests or new arrivals, and resets the counts of arrivals. */
 export const mutateTargetDemands = (state: AdmissionState, now: number): TargetDemand[] => {
 	const targets = new Set([...state.queues.keys(), ...state.arrivals.keys()]);
 	const demands = [...targets].map(target => {
@@ -9,8 +9,8 @@
 		return {
 			target,
 			waiting: queue.length,
-			weight: queue.reduce((sum, record) => sum + record.ticket.classWeight, 0),
-			mostRemainingMs: Math.max(0, ...queue.map(record => record.ticket.deadlineAt - now)),
+			weight: queue.reduce((sum, record) => sum + record.request.classWeight, 0),
+			mostRemainingMs: Math.max(0, ...queue.map(record => record.request.deadlineAt - now)),
 			arrivals: state.arrivals.get(target) ?? 0,
 		};
 	});
--- a/packages/admission/src/new-admission-state.ts
+++ b/packages/admission/src/new-admission-state.ts
@@ -1,18 +1,21 @@
 import type {AdmissionState} from './admission-state.js';
 
-/** The usual least time after which a refused caller is asked back, in milliseconds. */
-const LEAST_RETRY_AFTER_MS = 1000;
+/** The default minimum of the Retry-After time of refusals, in milliseconds. */
+const DEFAULT_MIN_RETRY_AFTER_MS = 1000;
 
-/** An entry without requests. */
-export const newAdmissionState = (leastRetryAfterMs = LEAST_RETRY_AFTER_MS): AdmissionState => ({
-	leastRetryAfterMs,
+/**
+ * Returns the state of an admission without requests.
+ * @param minRetryAfterMs - The minimum Retry-After time of refusals, in milliseconds.
+ */
+export const newAdmissionState = (minRetryAfterMs = DEFAULT_MIN_RETRY_AFTER_MS): AdmissionState => ({
+	minRetryAfterMs,
 	requests: new Map(),
 	queues: new Map(),
 	teams: new Map(),
 	classWaiting: new Map(),
 	lanes: new Map(),
 	endpoints: new Map(),
-	speeds: new Map(),
+	dispatchIntervals: new Map(),
 	endsAt: undefined,
 	arrivals: new Map(),
 	retryBudgets: new Map(),
--- a/packages/admission/tests/direct.steps.ts
+++ b/packages/admission/tests/direct.steps.ts
@@ -18,15 +18,15 @@
 		nextId: number;
 		dispatched: Dispatch[];
 		refused: Array<Extract<AdmissionEffect, {kind: 'refuse'}>>;
-		/** What an upstream does with a request as soon as it is sent. */
-		react: (dispatch: Dispatch) => AdmissionEvent | undefined;
+		/** The reaction of an upstream to a request, applied as soon as the request is sent. */
+		getReaction: (dispatch: Dispatch) => AdmissionEvent | undefined;
 	};
 };
 
 const TARGET = 'service/s';
 
-/** One request fewer may be sent to an upstream that limits them. */
-const spend = ({direct}: DirectWorld, vm: string): void => {
+/** Subtracts a sent request from what the rate limit of its upstream still allows. */
+const consumeSendLimit = ({direct}: DirectWorld, vm: string): void => {
 	const limit = direct.settings.sendLimits?.get(vm);
 	if (limit) {
 		direct.settings = {...direct.settings, sendLimits: new Map([...direct.settings.sendLimits!, [vm, {...limit, sends: limit.sends - 1}]])};
@@ -40,8 +40,8 @@
 			direct.refused.push(effect);
 		} else if (effect.kind === 'dispatch') {
 			direct.dispatched.push(effect);
-			spend(world, effect.vm);
-			const reaction = direct.react(effect);
+			consumeSendLimit(world, effect.vm);
+			const reaction = direct.getReaction(effect);
 			if (reaction) {
 				take(world, reaction);
 			}
@@ -72,7 +72,7 @@
 	take(world, {kind: 'started', requestId, attemptId});
 };
 
-Given('an entry that reaches upstreams {string} itself, with {int} places each and {int} retries', function (this: DirectWorld, names: string, places: number, retries: number) {
+Given('an entry that reaches upstreams {string} directly, with a limit of {int} requests each and {int} retries', function (this: DirectWorld, names: string, limit: number, retries: number) {
 	this.direct = {
 		state: newAdmissionState(),
 		settings: {
@@ -94,9 +94,9 @@
 		nextId: 0,
 		dispatched: [],
 		refused: [],
-		react: () => undefined,
+		getReaction: () => undefined,
 	};
-	take(this, {kind: 'endpoints', endpoints: new Map([[TARGET, names.split(', ').map(vm => ({vm, dataCentre: 'dc', places}))]])});
+	take(this, {kind: 'endpoints', endpoints: new Map([[TARGET, names.split(', ').map(vm => ({vm, dataCentre: 'dc', places: limit}))]])});
 });
 
 When('{int} request(s) arrive(s)', function (this: DirectWorld, count: number) {
@@ -117,7 +117,7 @@
 	assert.equal(this.direct.dispatched.filter(dispatch => dispatch.vm === vm).length, count);
 });
 
-Then('{int} were refused at once, to come back in no less than {int} ms', function (this: DirectWorld, count: number, leastMs: number) {
+Then('{int} were refused at once, with a Retry-After time of at least {int} ms', function (this: DirectWorld, count: number, leastMs: number) {
 	assert.equal(this.direct.refused.length, count);
 	assert.ok(this.direct.refused.every(({outcome, retryAfterMs}) => outcome === OUTCOME.NotRun && retryAfterMs >= leastMs));
 });
@@ -128,7 +128,7 @@
 });
 
 When('{string} refuses connections and {int} requests arrive', function (this: DirectWorld, vm: string, count: number) {
-	this.direct.react = dispatch => dispatch.vm === vm
+	this.direct.getReaction = dispatch => dispatch.vm === vm
 		? newFailure(dispatch, RESULT_CODE.UpstreamUnreachable, OUTCOME.NotRun)
 		: {kind: 'finished', requestId: dispatch.requestId, attemptId: dispatch.attemptId};
 	arriveMany(this, count);
@@ -138,12 +138,12 @@
 	assert.equal(this.direct.refused.length, 0);
 });
 
-Then('{string} was tried once', function (this: DirectWorld, vm: string) {
+Then('one request was sent to {string}', function (this: DirectWorld, vm: string) {
 	assert.equal(this.direct.dispatched.filter(dispatch => dispatch.vm === vm).length, 1);
 });
 
 When('upstreams refuse every request before running it and {int} requests arrive one after the other', function (this: DirectWorld, count: number) {
-	this.direct.react = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamRejected, OUTCOME.NotRun);
+	this.direct.getReaction = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamRejected, OUTCOME.NotRun);
 	for (let index = 0; index < count; index += 1) {
 		arrive(this, {maxAttempts: 2});
 		this.direct.now += 5000;
@@ -160,15 +160,15 @@
 });
 
 When('upstreams fail every request after running it and {int} request that may run {int} times arrives', function (this: DirectWorld, _count: number, runs: number) {
-	this.direct.react = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamFailed, OUTCOME.Unknown);
+	this.direct.getReaction = dispatch => newFailure(dispatch, RESULT_CODE.UpstreamFailed, OUTCOME.Unknown);
 	arrive(this, {maxRuns: runs});
 });
 
-Then('it was sent {int} times', function (this: DirectWorld, count: number) {
+Then('the request was sent {int} times', function (this: DirectWorld, count: number) {
 	assert.equal(this.direct.dispatched.length, count);
 });
 
-Then('the refusal says that it may have run', function (this: DirectWorld) {
+Then('the refusal says that the request may have run', function (this: DirectWorld) {
 	assert.deepEqual(this.direct.refused.map(refusal => refusal.outcome), [OUTCOME.Unknown]);
 });
 
@@ -194,11 +194,11 @@
 	take(this, newFailure(this.direct.dispatched.at(-1)!, RESULT_CODE.AnswerCut, OUTCOME.Unknown));
 });
 
-When('{int} ms pass without an answer', function (this: DirectWorld, ms: number) {
+When('{int} ms pass without a response', function (this: DirectWorld, ms: number) {
 	this.direct.now += ms;
 	take(this, {kind: 'tick'});
 });
 
-Then('the upstream is left out', function (this: DirectWorld) {
+Then('the upstream is ejected', function (this: DirectWorld) {
 	assert.ok([...this.direct.state.lanes.values()].every(lane => lane.ejectedUntil > this.direct.now));
 });
--- a/packages/answer/src/answer-framing-value.ts
+++ b/packages/answer/src/answer-framing-value.ts
@@ -1,4 +1,4 @@
-import type {ANSWER_FRAMING} from './answer-framing.js';
+import type {RESPONSE_FRAMING} from './response-framing.js';
 
-/** One of the ways in which the end of an answer's body is known. */
-export type AnswerFramingValue = (typeof ANSWER_FRAMING)[keyof typeof ANSWER_FRAMING];
+/** The way in which a response's body is delimited. */
+export type AnswerFramingValue = (typeof RESPONSE_FRAMING)[keyof typeof RESPONSE_FRAMING];
--- a/packages/answer/src/event-splitter.ts
+++ b/packages/answer/src/event-splitter.ts
@@ -1,55 +1,59 @@
 import {Buffer} from 'node:buffer';
 import {EventScanner} from './event-scanner.js';
 
-/** What a chunk added: bytes up to the end of the last whole event, and that event's id. */
-type WholeEvents = {
+/** The bytes up to the end of the last event that a chunk completed, and the id of the last event among them that has one. */
+type CompleteEvents = {
 	readonly bytes: Buffer;
-	/** Undefined where no event with an id has come yet. */
+	/** Undefined if none of these events has an id. */
 	readonly lastEventId: string | undefined;
 };
 
-/** A byte order mark may stand before the first line. It is read as Latin-1 here. */
+/** Matches the line with an event's id. A byte order mark may precede the first line; decoded as Latin-1, it reads as three characters. */
 const ID_LINE = /^(?:\u00EF\u00BB\u00BF)?id: ?(?<id>.*)$/gmv;
 
 const BYTE_ORDER_MARK = Buffer.from('\uFEFF');
 
-/** Cuts a stream of events into whole ones, so that a broken stream can go on after the last of them. */
+/** Passes on only complete events of a stream, so that a stream that breaks can be resumed on another upstream after the last of them. */
 export class EventSplitter {
 	readonly #scanner = new EventScanner();
-	/** Whether a byte order mark may come that is not to be passed on. */
-	#isMarkDue: boolean;
+	/** True if a byte order mark may still arrive that must be removed. */
+	#isMarkExpected: boolean;
 	#rest: Buffer = Buffer.alloc(0);
 
-	/** @param isContinuation - Whether the events go on in a stream that has begun, in which a byte order mark would belong to a field's name. */
+	/**
+	 * @param isContinuation - True if the events resume a stream that the caller has begun to receive. A byte order mark is removed then, as in
+	 * the middle of the stream it would be read as part of a field name.
+	 */
 	constructor(isContinuation = false) {
-		this.#isMarkDue = isContinuation;
+		this.#isMarkExpected = isContinuation;
 	}
 
-	take(chunk: Buffer): WholeEvents {
-		const end = this.#scanner.take(chunk);
+	/** Adds the next chunk and returns the events that are complete with it. */
+	take(chunk: Buffer): CompleteEvents {
+		const end = this.#scanner.scan(chunk);
 		if (end === 0) {
 			this.#rest = Buffer.concat([this.#rest, chunk]);
 			return {bytes: Buffer.alloc(0), lastEventId: undefined};
 		}
 
-		const whole = this.#withoutMark(Buffer.concat([this.#rest, chunk.subarray(0, end)]));
-		this.#isMarkDue = false;
+		const complete = this.#withoutMark(Buffer.concat([this.#rest, chunk.subarray(0, end)]));
+		this.#isMarkExpected = false;
 		this.#rest = chunk.subarray(end);
-		return {bytes: whole, lastEventId: this.#getLastId(whole)};
+		return {bytes: complete, lastEventId: this.#getLastId(complete)};
 	}
 
-	/** Bytes after the last whole event. */
+	/** The bytes after the last complete event. */
 	get rest(): Buffer {
 		return this.#withoutMark(this.#rest);
 	}
 
 	#withoutMark(bytes: Buffer): Buffer {
-		return this.#isMarkDue && bytes.subarray(0, BYTE_ORDER_MARK.length).equals(BYTE_ORDER_MARK) ? bytes.subarray(BYTE_ORDER_MARK.length) : bytes;
+		return this.#isMarkExpected && bytes.subarray(0, BYTE_ORDER_MARK.length).equals(BYTE_ORDER_MARK) ? bytes.subarray(BYTE_ORDER_MARK.length) : bytes;
 	}
 
-	#getLastId(whole: Buffer): string | undefined {
+	#getLastId(complete: Buffer): string | undefined {
 		let last: string | undefined;
-		for (const match of whole.toString('latin1').matchAll(ID_LINE)) {
+		for (const match of complete.toString('latin1').matchAll(ID_LINE)) {
 			last = match.groups?.id;
 		}
 
--- a/packages/routing/src/new-route-table.ts
+++ b/packages/routing/src/new-route-table.ts
@@ -1,10 +1,10 @@
 import {newKeyTable} from '@valelead/access';
-import {getPriorities} from './get-priorities.js';
+import {getPriorityPairs} from './get-priority-pairs.js';
 import type {Route} from './route.js';
 import type {RouteTable} from './route-table.js';
 import type {Routing} from './routing.js';
 
-/** Indexes a configuration. */
+/** Builds the look-up tables for a routing configuration. */
 export const newRouteTable = (routing: Routing): RouteTable => {
 	const hosts = new Map<string, Map<string, Route>>();
 	for (const route of routing.routes) {
@@ -21,6 +21,6 @@
 		hosts,
 		teams: new Map(teams.map(team => [team.name, team])),
 		keys: newKeyTable(teams),
-		priorities: getPriorities(routing),
+		priorities: getPriorityPairs(routing),
 	};
 };
