--- a/packages/placement/src/decide-placement.ts
+++ b/packages/placement/src/decide-placement.ts
@@ -1,9 +1,9 @@
-import {getKeepCosts} from './get-keep-costs.js';
-import {getKeepMs} from './get-keep-ms.js';
+import {getKeepLoadedCosts} from './get-keep-loaded-costs.js';
+import {getKeepLoadedMs} from './get-keep-loaded-ms.js';
 import {getLoadMs} from './get-load-ms.js';
-import {getUrgency} from './get-urgency.js';
-import {hasHope} from './has-hope.js';
-import {isReturnLikely} from './is-return-likely.js';
+import {getLoadPriority} from './get-load-priority.js';
+import {canLoadInTime} from './can-load-in-time.js';
+import {isReuseLikely} from './is-reuse-likely.js';
 import {mutateArrivals} from './mutate-arrivals.js';
 import {mutateLoads} from './mutate-loads.js';
 import {mutateStartTokens} from './mutate-start-tokens.js';
@@ -20,7 +20,7 @@
 const SCALE_OUT_RATIO = 2;
 
 /** A return is looked for over a window of this many load times. */
-const RETURN_WINDOW_LOADS = 2;
+const REUSE_WINDOW_LOADS = 2;
 
 /** Decides which replicas the view lacks and which it should give up. */
 class Decider {
@@ -68,7 +68,7 @@
 
 	#getWanted(): PlacementUnit[] {
 		const wanted = [...this.#view.units.values()].filter(unit => this.#isWanted(unit));
-		return wanted.sort((left, right) => getUrgency(this.#state, right) - getUrgency(this.#state, left));
+		return wanted.sort((left, right) => getLoadPriority(this.#state, right) - getLoadPriority(this.#state, left));
 	}
 
 	#isWanted(unit: PlacementUnit): boolean {
@@ -81,7 +81,7 @@
 			return false;
 		}
 
-		return this.#view.vms.some(vm => vm.isOpen && hasHope(this.#state, unit, vm));
+		return this.#view.vms.some(vm => vm.isOpen && canLoadInTime(this.#state, unit, vm));
 	}
 
 	#getCapacity(replicas: readonly PlacementReplica[]): number {
@@ -120,10 +120,10 @@
 			return false;
 		}
 
-		const costs = getKeepCosts(this.#state, this.#settings, unit, vm);
+		const costs = getKeepLoadedCosts(this.#state, this.#settings, unit, vm);
 		const history = this.#state.histories.get(unit.key);
-		const isLikely = history !== undefined && isReturnLikely(history, costs, this.#getWindowMs(unit), this.#now);
-		return replica.idleMs > getKeepMs(history, costs) && !isLikely;
+		const isLikely = history !== undefined && isReuseLikely(history, costs, this.#getWindowMs(unit), this.#now);
+		return replica.idleMs > getKeepLoadedMs(history, costs) && !isLikely;
 	}
 
 	#prewarm(): void {
@@ -138,15 +138,15 @@
 				continue;
 			}
 
-			const costs = getKeepCosts(this.#state, this.#settings, unit, vm);
-			if (isReturnLikely(history, costs, this.#getWindowMs(unit), this.#now)) {
+			const costs = getKeepLoadedCosts(this.#state, this.#settings, unit, vm);
+			if (isReuseLikely(history, costs, this.#getWindowMs(unit), this.#now)) {
 				history.wasPrewarmed = this.#round.place(unit, false, true);
 			}
 		}
 	}
 
 	#getWindowMs(unit: PlacementUnit): number {
-		return getLoadMs(this.#state, unit) * RETURN_WINDOW_LOADS;
+		return getLoadMs(this.#state, unit) * REUSE_WINDOW_LOADS;
 	}
 
 	#getReplicas(): PlacementReplica[] {
--- a/packages/placement/src/get-evictions.ts
+++ b/packages/placement/src/get-evictions.ts
@@ -1,4 +1,4 @@
-import {getKeepCosts} from './get-keep-costs.js';
+import {getKeepLoadedCosts} from './get-keep-loaded-costs.js';
 import type {PlacementReplica} from './placement-replica.js';
 import type {PlacementState} from './placement-state.js';
 import type {PlacementView} from './placement-view.js';
@@ -24,12 +24,12 @@
 };
 
 /** Chance that an idle unit is asked for again within its cold-start horizon, from its last gap. */
-const getReturnCost = (state: PlacementState, settings: PolicySettings, replica: PlacementReplica, vm: PlacementVm): number => {
-	const costs = getKeepCosts(state, settings, {key: replica.unit, memoryBytes: replica.memoryBytes}, vm);
+const getExpectedReloadCost = (state: PlacementState, settings: PolicySettings, replica: PlacementReplica, vm: PlacementVm): number => {
+	const costs = getKeepLoadedCosts(state, settings, {key: replica.unit, memoryBytes: replica.memoryBytes}, vm);
 	const gaps = state.histories.get(replica.unit)?.gaps ?? [];
 	const longer = gaps.filter(gap => gap > replica.idleMs).length;
-	const returns = (longer + 1) / (gaps.length + 2);
-	return returns * costs.coldStart / (replica.idleMs + 1);
+	const reuseChance = (longer + 1) / (gaps.length + 2);
+	return reuseChance * costs.coldStartCost / (replica.idleMs + 1);
 };
 
 /**
@@ -40,7 +40,7 @@
 	let freeBytes = getFutureBytes(vm);
 	const candidates = vm.replicas
 		.filter(replica => isEvictable(replica, vm, view, neededBase))
-		.map(replica => ({replica, cost: getReturnCost(state, settings, replica, vm)}))
+		.map(replica => ({replica, cost: getExpectedReloadCost(state, settings, replica, vm)}))
 		.sort((left, right) => (left.cost / left.replica.memoryBytes) - (right.cost / right.replica.memoryBytes));
 	const replicas: PlacementReplica[] = [];
 	let cost = 0;
--- a/packages/placement/src/get-keep-costs.ts
+++ b/packages/placement/src/get-keep-loaded-costs.ts
@@ -1,21 +1,21 @@
 import {getLoadMs} from './get-load-ms.js';
-import type {KeepCosts} from './keep-costs.js';
+import type {KeepLoadedCosts} from './keep-loaded-costs.js';
 import type {PlacementState} from './placement-state.js';
 import type {PlacementVm} from './placement-vm.js';
 import type {PolicySettings} from './policy-settings.js';
 
-type Kept = {
+type KeptUnit = {
 	readonly key: string;
 	readonly memoryBytes: number;
 };
 
 /** The costs of keeping a unit on a VM, or giving it up. */
-export const getKeepCosts = (state: PlacementState, settings: PolicySettings, unit: Kept, vm: PlacementVm): KeepCosts => {
+export const getKeepLoadedCosts = (state: PlacementState, settings: PolicySettings, unit: KeptUnit, vm: PlacementVm): KeepLoadedCosts => {
 	const history = state.histories.get(unit.key);
 	const waitMs = getLoadMs(state, unit, vm);
 	const callers = (history?.burstSize ?? 1) * (history?.requestWeight ?? 1);
 	return {
-		idlePerMs: Math.max(settings.idleWeight * unit.memoryBytes / vm.memoryBytes, Number.EPSILON),
-		coldStart: settings.coldStartWeight * callers * waitMs,
+		idleCostPerMs: Math.max(settings.idleWeight * unit.memoryBytes / vm.memoryBytes, Number.EPSILON),
+		coldStartCost: settings.coldStartWeight * callers * waitMs,
 	};
 };
--- a/packages/placement/src/get-load-ms.ts
+++ b/packages/placement/src/get-load-ms.ts
@@ -10,6 +10,6 @@
 
 /** The expected time of a load on a VM in milliseconds, or from the weight store where no VM is given. */
 export const getLoadMs = (state: PlacementState, unit: Loadable, vm?: PlacementVm): number => {
-	const msPerGib = vm?.cached.has(unit.key) ? state.diskMsPerGib : state.remoteMsPerGib;
+	const msPerGib = vm?.cached.has(unit.key) ? state.diskMsPerGib : state.storeMsPerGib;
 	return Math.max(1, msPerGib * unit.memoryBytes / BYTES_PER_GIB);
 };
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -8,5 +8,5 @@
 export {newPlacementState} from './new-placement-state.js';
 export {decidePlacement} from './decide-placement.js';
 export {mutateLoadEnd} from './mutate-load-end.js';
-export {getKeepMs} from './get-keep-ms.js';
+export {getKeepLoadedMs} from './get-keep-loaded-ms.js';
 export {getLoadMs} from './get-load-ms.js';
--- a/packages/placement/src/keep-costs.ts
+++ b/packages/placement/src/keep-loaded-costs.ts
@@ -1,7 +1,7 @@
 /** What holding a unit costs, and what one cold start would cost its callers. */
-export type KeepCosts = {
+export type KeepLoadedCosts = {
 	/** Cost of holding the unit for one millisecond without work. */
-	readonly idlePerMs: number;
+	readonly idleCostPerMs: number;
 	/** Cost of one cold start. */
-	readonly coldStart: number;
+	readonly coldStartCost: number;
 };
--- a/packages/placement/src/load-record.ts
+++ b/packages/placement/src/load-record.ts
@@ -4,7 +4,7 @@
 	readonly vm: string;
 	readonly startedAt: number;
 	/** Whether the load reads from the weight store. */
-	readonly isRemote: boolean;
+	readonly isFromStore: boolean;
 	/** Whether it was granted before any request waited. */
 	readonly isPrewarm: boolean;
 };
--- a/packages/placement/src/mutate-arrivals.ts
+++ b/packages/placement/src/mutate-arrivals.ts
@@ -1,4 +1,4 @@
-import type {History} from './history.js';
+import type {UsageHistory} from './usage-history.js';
 import type {PlacementState} from './placement-state.js';
 import type {PlacementUnit} from './placement-unit.js';
 
@@ -6,12 +6,12 @@
 const MAX_GAPS = 48;
 
 /** Weight of the newest value in a running mean. */
-const MEAN_SHARE = 0.3;
+const SMOOTHING_FACTOR = 0.3;
 
 /** Shorter gaps belong to one session of use, in milliseconds. */
 const SESSION_GAP_MS = 5000;
 
-const newHistory = (now: number): History => ({
+const newHistory = (now: number): UsageHistory => ({
 	lastArrivalAt: now,
 	wasPrewarmed: false,
 	gaps: [],
@@ -35,7 +35,7 @@
 	}
 
 	if (unit.waiting > 0) {
-		history.burstSize += (unit.waiting - history.burstSize) * MEAN_SHARE;
-		history.requestWeight += ((unit.waitingWeight / unit.waiting) - history.requestWeight) * MEAN_SHARE;
+		history.burstSize += (unit.waiting - history.burstSize) * SMOOTHING_FACTOR;
+		history.requestWeight += ((unit.waitingWeight / unit.waiting) - history.requestWeight) * SMOOTHING_FACTOR;
 	}
 };
--- a/packages/placement/src/mutate-load-end.ts
+++ b/packages/placement/src/mutate-load-end.ts
@@ -3,7 +3,7 @@
 const BYTES_PER_GIB = 2 ** 30;
 
 /** Weight of the newest load in the measured speed. */
-const SPEED_SHARE = 0.3;
+const SMOOTHING_FACTOR = 0.3;
 
 /** Notes that a load ended and how fast it was; a load that failed only ends. */
 export const mutateLoadEnd = (state: PlacementState, loadKey: string, memoryBytes: number, isReady: boolean, now: number): void => {
@@ -14,9 +14,9 @@
 	}
 
 	const msPerGib = (now - load.startedAt) * BYTES_PER_GIB / memoryBytes;
-	if (load.isRemote) {
-		state.remoteMsPerGib += (msPerGib - state.remoteMsPerGib) * SPEED_SHARE;
+	if (load.isFromStore) {
+		state.storeMsPerGib += (msPerGib - state.storeMsPerGib) * SMOOTHING_FACTOR;
 	} else {
-		state.diskMsPerGib += (msPerGib - state.diskMsPerGib) * SPEED_SHARE;
+		state.diskMsPerGib += (msPerGib - state.diskMsPerGib) * SMOOTHING_FACTOR;
 	}
 };
--- a/packages/placement/src/new-placement-state.ts
+++ b/packages/placement/src/new-placement-state.ts
@@ -9,7 +9,7 @@
 	histories: new Map(),
 	loads: new Map(),
 	startTokens: 1,
-	tokensAt: now,
-	remoteMsPerGib: settings.assumedLoadMsPerGib,
+	tokensRefilledAt: now,
+	storeMsPerGib: settings.assumedLoadMsPerGib,
 	diskMsPerGib: settings.assumedLoadMsPerGib / ASSUMED_DISK_SPEEDUP,
 });
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -16,7 +16,7 @@
 };
 
 /** Cost of a full VM relative to an empty one, in milliseconds of waiting. */
-const BUSY_VM_MS = 500;
+const FULL_VM_PENALTY_MS = 500;
 
 /** One round of decisions over a copy of the view, so that later decisions see earlier ones. */
 export class PlacementRound {
@@ -102,7 +102,7 @@
 			return undefined;
 		}
 
-		const busyMs = BUSY_VM_MS * vm.inProgress / Math.max(1, vm.capacity);
+		const busyMs = FULL_VM_PENALTY_MS * vm.inProgress / Math.max(1, vm.capacity);
 		const waitMs = getLoadMs(this.#state, unit, vm) + busyMs;
 		const weight = Math.max(1, unit.waitingWeight) * this.#settings.coldStartWeight;
 		return {vm, evicted: evictions.replicas, cost: (waitMs * weight) + evictions.cost};
@@ -115,8 +115,8 @@
 			return;
 		}
 
-		const isRemote = !vm.cached.has(unit.key);
-		if (isRemote && !this.#takeStart()) {
+		const isFromStore = !vm.cached.has(unit.key);
+		if (isFromStore && !this.#takeStartToken()) {
 			return;
 		}
 
@@ -126,14 +126,14 @@
 		};
 		this.#vms.set(vm.name, {...vm, replicas: [...vm.replicas, replica]});
 		this.#state.loads.set(getLoadKey(unit.key, vm.name), {
-			unit: unit.key, vm: vm.name, startedAt: this.#now, isRemote, isPrewarm,
+			unit: unit.key, vm: vm.name, startedAt: this.#now, isFromStore, isPrewarm,
 		});
 		this.decisions.push({kind: 'grant', unit: unit.key, vm: vm.name});
 	}
 
 	/** Takes a start from the budget of the weight store, if one is left. */
-	#takeStart(): boolean {
-		const running = [...this.#state.loads.values()].filter(load => load.isRemote).length;
+	#takeStartToken(): boolean {
+		const running = [...this.#state.loads.values()].filter(load => load.isFromStore).length;
 		if (running >= this.#settings.concurrentLoads || this.#state.startTokens < 1) {
 			return false;
 		}
--- a/packages/placement/src/placement-state.ts
+++ b/packages/placement/src/placement-state.ts
@@ -1,15 +1,15 @@
-import type {History} from './history.js';
+import type {UsageHistory} from './usage-history.js';
 import type {LoadRecord} from './load-record.js';
 
 /** What the placement remembers between decisions. */
 export type PlacementState = {
-	readonly histories: Map<string, History>;
+	readonly histories: Map<string, UsageHistory>;
 	/** Loads by unit and VM. */
 	readonly loads: Map<string, LoadRecord>;
 	/** Load starts that are left in the current second, may be fractional. */
 	startTokens: number;
-	tokensAt: number;
+	tokensRefilledAt: number;
 	/** Measured milliseconds to load one GiB: from the weight store and from the VM's disk. */
-	remoteMsPerGib: number;
+	storeMsPerGib: number;
 	diskMsPerGib: number;
 };
--- a/packages/placement/src/history.ts
+++ b/packages/placement/src/usage-history.ts
@@ -1,5 +1,5 @@
 /** What the placement remembers of one unit's use. Times are monotonic milliseconds. */
-export type History = {
+export type UsageHistory = {
 	lastArrivalAt: number;
 	/** Whether it was loaded ahead of a return since the last arrival; a return is foretold once. */
 	wasPrewarmed: boolean;
--- a/packages/placement/tests/placement.steps.ts
+++ b/packages/placement/tests/placement.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {
-	type PlacementDecision, type PlacementReplica, type PlacementState, type PlacementUnit, type PlacementVm, type PolicySettings, decidePlacement, getKeepMs, newPlacementState,
+	type PlacementDecision, type PlacementReplica, type PlacementState, type PlacementUnit, type PlacementVm, type PolicySettings, decidePlacement, getKeepLoadedMs, newPlacementState,
 } from '@valelead/placement';
 
 type PlacementWorld = {
@@ -119,13 +119,13 @@
 };
 
 Then('a higher weight of cold starts keeps models longer', () => {
-	const low = getKeepMs(HISTORY, {idlePerMs: 0.05, coldStart: 1000});
-	const high = getKeepMs(HISTORY, {idlePerMs: 0.05, coldStart: 10_000});
+	const low = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.05, coldStartCost: 1000});
+	const high = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.05, coldStartCost: 10_000});
 	assert.ok(high > low, `${high} is not more than ${low}`);
 });
 
 Then('a higher weight of idle accelerators keeps models shorter', () => {
-	const low = getKeepMs(HISTORY, {idlePerMs: 0.05, coldStart: 5000});
-	const high = getKeepMs(HISTORY, {idlePerMs: 0.5, coldStart: 5000});
+	const low = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.05, coldStartCost: 5000});
+	const high = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.5, coldStartCost: 5000});
 	assert.ok(high < low, `${high} is not less than ${low}`);
 });
--- a/packages/residency/src/replica.ts
+++ b/packages/residency/src/engine-copy-count.ts
@@ -1,5 +1,5 @@
 /** An engine that holds a model. */
-export type Replica = {
+export type EngineCopyCount = {
 	readonly upstreamId: string;
 	/** Models of which it keeps a copy. */
 	readonly copies: number;
--- a/packages/residency/src/get-adapter-order.ts
+++ b/packages/residency/src/get-adapter-order.ts
@@ -8,7 +8,7 @@
 import type {ResidencyState} from './residency-state.js';
 import type {UnitNeed} from './unit-need.js';
 
-const getIdleAdapter = (state: ResidencyState, holdings: Holdings, needs: readonly UnitNeed[]): EngineOrder | undefined => {
+const getAdapterUnloadOrder = (state: ResidencyState, holdings: Holdings, needs: readonly UnitNeed[]): EngineOrder | undefined => {
 	const needed = new Set(needs.filter(need => need.waiting + need.inProgress > 0).map(need => getUnitName(need.model, need.adapter)));
 	let idle: EngineOrder | undefined;
 	let idleSince = Number.POSITIVE_INFINITY;
@@ -44,5 +44,5 @@
 		return {kind: ORDER_KIND.Load, model: wanted.model, adapter: wanted.adapter};
 	}
 
-	return getIdleAdapter(state, holdings, needs);
+	return getAdapterUnloadOrder(state, holdings, needs);
 };
--- a/packages/residency/src/get-aging.ts
+++ b/packages/residency/src/get-aging-factor.ts
@@ -5,4 +5,4 @@
 const DOUBLING_MS = 2500;
 
 /** How many times as much a load counts for the time that requests have waited for its model, in milliseconds. */
-export const getAging = (wantedMs: number): number => 2 ** (wantedMs / DOUBLING_MS);
+export const getAgingFactor = (wantedMs: number): number => 2 ** (wantedMs / DOUBLING_MS);
--- a/packages/residency/src/get-balancing-fetch.ts
+++ b/packages/residency/src/get-balancing-fetch.ts
@@ -3,10 +3,10 @@
 import type {EngineCopies} from './engine-copies.js';
 
 /** The part of the loads at once that is spent on balance; the rest is left to loads that requests wait for. */
-const BALANCE_SHARE = 0.25;
+const REBALANCING_SHARE = 0.25;
 
 /** Engines that keep a copy of a model. */
-const getCount = (model: string, engines: readonly EngineCopies[]): number => engines.filter(engine => engine.models.has(model)).length;
+const getCopyCount = (model: string, engines: readonly EngineCopies[]): number => engines.filter(engine => engine.models.has(model)).length;
 
 /**
  * The model that an engine with few copies, such as one that has just replaced another, should fetch from the weight
@@ -21,14 +21,14 @@
 	}
 
 	const mean = engines.reduce((sum, engine) => sum + engine.models.size, 0) / engines.length;
-	const short = engines.filter(engine => isShortOfCopies(engine.models.size, mean)).sort((left, right) => getHash(left.upstreamId) - getHash(right.upstreamId));
-	if (!short.slice(0, Math.ceil(concurrentLoads * BALANCE_SHARE)).includes(own)) {
+	const withFewCopies = engines.filter(engine => isShortOfCopies(engine.models.size, mean)).sort((left, right) => getHash(left.upstreamId) - getHash(right.upstreamId));
+	if (!withFewCopies.slice(0, Math.ceil(concurrentLoads * REBALANCING_SHARE)).includes(own)) {
 		return undefined;
 	}
 
 	const missing = models
 		.filter(model => !own.models.has(model))
-		.map(model => ({model, count: getCount(model, engines), hash: getHash(`${model} ${upstreamId}`)}))
+		.map(model => ({model, count: getCopyCount(model, engines), hash: getHash(`${model} ${upstreamId}`)}))
 		.sort((left, right) => (left.count - right.count) || (left.hash - right.hash));
 	return missing[0]?.model;
 };
--- /dev/null
+++ b/packages/residency/src/get-engines-ranked-by-copies.ts
@@ -0,0 +1,16 @@
+import {isShortOfCopies} from './is-short-of-copies.js';
+import type {EngineCopyCount} from './engine-copy-count.js';
+
+type RankedEngine = {
+	readonly upstreamId: string;
+	readonly hasFewCopies: boolean;
+	readonly rank: number;
+};
+
+/** Engines in the same order in every process: those that keep few copies first, then by a rank of their ids, the lowest first. */
+export const getEnginesRankedByCopies = (engines: readonly EngineCopyCount[], getRank: (upstreamId: string) => number): RankedEngine[] => {
+	const mostCopies = Math.max(...engines.map(engine => engine.copies));
+	return engines
+		.map(({upstreamId, copies}) => ({upstreamId, hasFewCopies: isShortOfCopies(copies, mostCopies), rank: getRank(upstreamId)}))
+		.sort((left, right) => (Number(right.hasFewCopies) - Number(left.hasFewCopies)) || (left.rank - right.rank));
+};
--- a/packages/residency/src/get-fetchers.ts
+++ b/packages/residency/src/get-fetchers.ts
@@ -1,6 +1,6 @@
 import {getHash} from './get-hash.js';
-import {getRankedByCopies} from './get-ranked-by-copies.js';
-import type {Replica} from './replica.js';
+import {getEnginesRankedByCopies} from './get-engines-ranked-by-copies.js';
+import type {EngineCopyCount} from './engine-copy-count.js';
 
 /**
  * The part of the engines that fetch models from the weight store for waiting requests, where no more are short of copies. A fetch keeps
@@ -16,9 +16,9 @@
  * others in the view of all gateways.
  * @param atOnce - Fetches that the store serves at once without slowing them, as far as known.
  */
-export const getFetchers = (engines: readonly Replica[], atOnce: number): ReadonlySet<string> => {
-	const ranked = getRankedByCopies(engines, getHash);
-	const shortCount = ranked.filter(engine => engine.isShort).length;
+export const getFetchers = (engines: readonly EngineCopyCount[], atOnce: number): ReadonlySet<string> => {
+	const ranked = getEnginesRankedByCopies(engines, getHash);
+	const shortCount = ranked.filter(engine => engine.hasFewCopies).length;
 	const count = Math.min(atOnce, Math.max(shortCount, Math.ceil(ranked.length * FETCHER_SHARE)));
 	return new Set(ranked.slice(0, count).map(engine => engine.upstreamId));
 };
--- a/packages/residency/src/get-own-load-ms.ts
+++ b/packages/residency/src/get-load-cost-ms.ts
@@ -6,13 +6,13 @@
  * loads that requests wait for, so its time counts up to this much more there: 1 in 100 of the credit in the laboratory's
  * engine-lost and empty-engines.
  */
-const DISPLACED_SHARE = 1;
+const DISPLACEMENT_FACTOR = 1;
 
 /** How long the load itself counts on an engine, from the nearest copy, in milliseconds. */
-export const getOwnLoadMs = ({hasMemoryCopy, hasDiskCopy, copyShare}: LoadSite, times: LoadTimes): number => {
+export const getLoadCostMs = ({hasMemoryCopy, hasDiskCopy, copyShare}: LoadSite, times: LoadTimes): number => {
 	if (hasMemoryCopy) {
 		return times.memoryLoadMs;
 	}
 
-	return hasDiskCopy ? times.diskLoadMs : times.storeLoadMs * (1 + (DISPLACED_SHARE * copyShare));
+	return hasDiskCopy ? times.diskLoadMs : times.storeLoadMs * (1 + (DISPLACEMENT_FACTOR * copyShare));
 };
--- a/packages/residency/src/get-merged-needs.ts
+++ b/packages/residency/src/get-merged-needs.ts
@@ -2,7 +2,7 @@
 import {getUnitName} from './get-unit-name.js';
 import type {UnitNeed} from './unit-need.js';
 
-const getSum = (needs: readonly UnitNeed[]): UnitNeed => needs.length === 1
+const getMergedNeed = (needs: readonly UnitNeed[]): UnitNeed => needs.length === 1
 	? needs[0]
 	: {
 		...needs[0],
@@ -21,5 +21,5 @@
 		units.set(name, known);
 	}
 
-	return [...units.values()].map(parts => getSum(parts));
+	return [...units.values()].map(parts => getMergedNeed(parts));
 };
--- a/packages/residency/src/get-merged-waits.ts
+++ b/packages/residency/src/get-merged-waits.ts
@@ -1,15 +1,15 @@
 import type {Wait} from './wait.js';
 
 /** Waits whose times differ by less than this are taken together, in milliseconds: well below the time of a load. */
-const STEP_MS = 200;
+const BUCKET_MS = 200;
 
-const getStep = (milliseconds: number): number => Math.round(milliseconds / STEP_MS);
+const getBucket = (milliseconds: number): number => Math.round(milliseconds / BUCKET_MS);
 
 /** Takes waits with about the same times together, so that what is told of a model in demand stays short. */
 export const getMergedWaits = (waits: Iterable<Wait>): Wait[] => {
 	const merged = new Map<string, Wait>();
 	for (const wait of waits) {
-		const key = `${getStep(wait.dueInMs)} ${getStep(wait.leavesInMs)}`;
+		const key = `${getBucket(wait.dueInMs)} ${getBucket(wait.leavesInMs)}`;
 		const known = merged.get(key);
 		merged.set(key, {
 			count: wait.count + (known?.count ?? 0),
--- a/packages/residency/src/get-next-step.ts
+++ b/packages/residency/src/get-next-step.ts
@@ -1,9 +1,9 @@
 import {getAdapterOrder} from './get-adapter-order.js';
-import {getIdleModel} from './get-idle-model.js';
+import {getModelToUnload} from './get-model-to-unload.js';
 import {getWantedMs} from './get-wanted-ms.js';
 import {getUsedMemory} from './get-used-memory.js';
 import {getLoadMs} from './get-load-ms.js';
-import {getAging} from './get-aging.js';
+import {getAgingFactor} from './get-aging-factor.js';
 import {getCopyLoadRate} from './get-copy-load-rate.js';
 import {getLoadQueue} from './get-load-queue.js';
 import {getLoadValue} from './get-load-value.js';
@@ -23,13 +23,13 @@
  * time: one load takes the time of about nine swaps. Requests that wait longer make it count more, so that it comes in the
  * end. Begun in each pause of the queue instead, there are 19 of them in place of 16 in the laboratory's mixed-losses.
  */
-const isDisplacing = (state: ResidencyState, capacity: Capacity, holdings: Holdings, model: string, needs: readonly UnitNeed[], now: number): boolean => {
+const isDisplacingCopyLoads = (state: ResidencyState, capacity: Capacity, holdings: Holdings, model: string, needs: readonly UnitNeed[], now: number): boolean => {
 	const loadMs = getLoadMs(capacity, holdings, model);
-	const value = getLoadValue(getWaits(needs, model), loadMs) * getAging(getWantedMs(state, model));
+	const value = getLoadValue(getWaits(needs, model), loadMs) * getAgingFactor(getWantedMs(state, model));
 	return isStoreLoad(capacity, holdings, model) && value > 0 && value < getCopyLoadRate(state, now) * loadMs;
 };
 
-const REST: LoadStep = {kind: 'rest'};
+const NO_STEP: LoadStep = {kind: 'rest'};
 
 const newModelOrder = (kind: EngineOrder['kind'], model: string): LoadStep => ({kind: 'order', order: {kind, model, adapter: ''}});
 
@@ -40,10 +40,10 @@
 	});
 	const wanted = queue.find(model => capacity.models.has(model));
 	if (wanted === undefined) {
-		return REST;
+		return NO_STEP;
 	}
 
-	if (isDisplacing(state, capacity, holdings, wanted, needs, now)) {
+	if (isDisplacingCopyLoads(state, capacity, holdings, wanted, needs, now)) {
 		return {kind: 'delay', load: {model: wanted, reason: LOAD_DELAY.CopiesFirst}};
 	}
 
@@ -52,7 +52,7 @@
 		return newModelOrder(ORDER_KIND.Load, wanted);
 	}
 
-	const idle = getIdleModel(state, holdings, needs);
+	const idle = getModelToUnload(state, holdings, needs);
 	return idle === undefined ? {kind: 'delay', load: {model: wanted, reason: LOAD_DELAY.NoIdleModel}} : newModelOrder(ORDER_KIND.Unload, idle);
 };
 
@@ -63,7 +63,7 @@
  */
 export const getNextStep = (state: ResidencyState, capacity: Capacity, holdings: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
 	if (holdings.isBusy) {
-		return REST;
+		return NO_STEP;
 	}
 
 	const order = getAdapterOrder(state, capacity, holdings, needs);
--- a/packages/residency/src/get-prefetch.ts
+++ b/packages/residency/src/get-prefetch.ts
@@ -1,7 +1,7 @@
 import {getHash} from './get-hash.js';
 import type {EngineCopies} from './engine-copies.js';
 
-const getAssigned = (model: string, engines: readonly EngineCopies[]): EngineCopies | undefined => {
+const getAssignedEngine = (model: string, engines: readonly EngineCopies[]): EngineCopies | undefined => {
 	const [first] = [...engines].sort((left, right) => getHash(`${model} ${right.upstreamId}`) - getHash(`${model} ${left.upstreamId}`));
 	return first;
 };
@@ -18,7 +18,7 @@
 		.slice(0, concurrentLoads);
 	let free = [...engines];
 	for (const model of missing) {
-		const engine = getAssigned(model, free);
+		const engine = getAssignedEngine(model, free);
 		if (engine?.upstreamId === upstreamId) {
 			return model;
 		}
--- a/packages/residency/src/get-soonest-ms.ts
+++ b/packages/residency/src/get-soonest-ms.ts
@@ -1,4 +1,4 @@
-import {getOwnLoadMs} from './get-own-load-ms.js';
+import {getLoadCostMs} from './get-load-cost-ms.js';
 import type {LoadSite} from './load-site.js';
 import type {LoadTimes} from './load-times.js';
 
@@ -8,5 +8,5 @@
 		return site.busyMs;
 	}
 
-	return site.remainingMs ?? (site.busyMs + getOwnLoadMs(site, times));
+	return site.remainingMs ?? (site.busyMs + getLoadCostMs(site, times));
 };
--- a/packages/residency/src/get-wished-replicas.ts
+++ b/packages/residency/src/get-wished-replicas.ts
@@ -3,7 +3,7 @@
  * the first events of others late; below it replicas take the places of rare models. In the laboratory's steady-tail, 8
  * make 6 in 100 more of the rare models' requests late than 20, and 3 in 100 fewer of the busy models'; 16 lies between.
  */
-const REQUESTS_PER_REPLICA = 16;
+const MAX_REQUESTS_PER_REPLICA = 16;
 
 /**
  * The part of an engine's slots that requests of one model should take up on a replica, where that is fewer. Its other models need some,
@@ -17,6 +17,6 @@
  * @param slots - Requests that an engine works on at once.
  */
 export const getWishedReplicas = (inProgress: number, slots: number): number => {
-	const perReplica = Math.max(1, Math.min(REQUESTS_PER_REPLICA, slots * SLOT_SHARE));
+	const perReplica = Math.max(1, Math.min(MAX_REQUESTS_PER_REPLICA, slots * SLOT_SHARE));
 	return Math.max(1, Math.ceil(inProgress / perReplica));
 };
--- a/packages/residency/src/index.ts
+++ b/packages/residency/src/index.ts
@@ -17,7 +17,7 @@
 export {getLoadQueue} from './get-load-queue.js';
 export type {ModelLoad} from './model-load.js';
 export {isShortOfCopies} from './is-short-of-copies.js';
-export type {Replica} from './replica.js';
+export type {EngineCopyCount} from './engine-copy-count.js';
 export type {StoreFetch} from './store-fetch.js';
 export type {StoreLimit} from './store-limit.js';
 export {mutateStoreLimit} from './mutate-store-limit.js';
--- a/packages/residency/src/mutate-copy-load.ts
+++ b/packages/residency/src/mutate-copy-load.ts
@@ -1,8 +1,8 @@
-import {COPY_LOAD_MEMORY_MS} from './copy-load-memory-ms.js';
+import {COPY_LOAD_DECAY_MS} from './copy-load-decay-ms.js';
 import {getCopyLoadRate} from './get-copy-load-rate.js';
 import type {ResidencyState} from './residency-state.js';
 
 /** Notes a load from a copy and what it counted for the requests that waited for it. */
 export const mutateCopyLoad = (state: ResidencyState, value: number, now: number): void => {
-	state.copyLoads = {rate: getCopyLoadRate(state, now) + (value / COPY_LOAD_MEMORY_MS), at: now};
+	state.copyLoads = {rate: getCopyLoadRate(state, now) + (value / COPY_LOAD_DECAY_MS), at: now};
 };
--- a/packages/residency/src/mutate-store-limit.ts
+++ b/packages/residency/src/mutate-store-limit.ts
@@ -2,16 +2,16 @@
 import type {StoreLimit} from './store-limit.js';
 
 /** A fetch that takes this much of its stated time is slowed by others; busy engines alone take somewhat longer than stated. */
-const LATE_PACE = 1.5;
+const SLOWED_PACE = 1.5;
 
 /** One that ended within this much of its stated time was not slowed. */
-const ON_TIME_PACE = 1.25;
+const FULL_SPEED_PACE = 1.25;
 
 /** A store that serves a fetch at once can be asked for one more: additive increase. */
-const mutateEnded = (limit: StoreLimit, fetches: ReadonlyMap<string, StoreFetch>): void => {
-	for (const [upstreamId, {model, pace, most}] of limit.fetches) {
+const mutateLimitByEndedFetches = (limit: StoreLimit, fetches: ReadonlyMap<string, StoreFetch>): void => {
+	for (const [upstreamId, {model, pace, maxConcurrent}] of limit.fetches) {
 		const hasEnded = fetches.get(upstreamId)?.model !== model;
-		if (hasEnded && pace <= ON_TIME_PACE && most >= limit.atOnce) {
+		if (hasEnded && pace <= FULL_SPEED_PACE && maxConcurrent >= limit.atOnce) {
 			limit.atOnce += 1;
 		}
 	}
@@ -24,15 +24,15 @@
  */
 export const mutateStoreLimit = (limit: StoreLimit, underWay: readonly StoreFetch[]): void => {
 	const fetches = new Map(underWay.map(fetch => [fetch.upstreamId, fetch]));
-	mutateEnded(limit, fetches);
+	mutateLimitByEndedFetches(limit, fetches);
 	limit.fetches = new Map(underWay.map(fetch => {
 		const known = limit.fetches.get(fetch.upstreamId);
-		const before = known?.model === fetch.model ? known.most : 0;
-		return [fetch.upstreamId, {...fetch, most: Math.max(before, underWay.length)}];
+		const before = known?.model === fetch.model ? known.maxConcurrent : 0;
+		return [fetch.upstreamId, {...fetch, maxConcurrent: Math.max(before, underWay.length)}];
 	}));
-	for (const {pace, most} of limit.fetches.values()) {
-		if (pace >= LATE_PACE) {
-			limit.atOnce = Math.min(limit.atOnce, Math.max(1, Math.floor(most / pace)));
+	for (const {pace, maxConcurrent} of limit.fetches.values()) {
+		if (pace >= SLOWED_PACE) {
+			limit.atOnce = Math.min(limit.atOnce, Math.max(1, Math.floor(maxConcurrent / pace)));
 		}
 	}
 };
--- a/packages/residency/src/new-store-limit.ts
+++ b/packages/residency/src/new-store-limit.ts
@@ -1,6 +1,6 @@
 import type {StoreLimit} from './store-limit.js';
 
 /** Fetches at once before any was seen to end. */
-const FIRST_AT_ONCE = 4;
+const INITIAL_MAX_FETCHES = 4;
 
-export const newStoreLimit = (): StoreLimit => ({atOnce: FIRST_AT_ONCE, fetches: new Map()});
+export const newStoreLimit = (): StoreLimit => ({atOnce: INITIAL_MAX_FETCHES, fetches: new Map()});
--- a/packages/residency/src/residency-state.ts
+++ b/packages/residency/src/residency-state.ts
@@ -1,5 +1,5 @@
 /** Monotonic times in milliseconds. */
-type WantedTime = {
+type WaitPeriod = {
 	readonly since: number;
 	readonly lastAt: number;
 };
@@ -11,5 +11,5 @@
 	/** What loads from copies counted on the average at `at`, in weights of requests in time for each millisecond. */
 	copyLoads: {readonly rate: number; readonly at: number};
 	/** Since when requests wait for each model without a longer break, and when they did last. */
-	readonly wanted: Map<string, WantedTime>;
+	readonly modelWaits: Map<string, WaitPeriod>;
 };
--- a/packages/residency/tests/residency.steps.ts
+++ b/packages/residency/tests/residency.steps.ts
@@ -4,14 +4,14 @@
 } from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {
-	type Capacity, type Replica, type EngineCopies, type EngineOrder, type Holdings, type LoadSite,
+	type Capacity, type EngineCopyCount, type EngineCopies, type EngineOrder, type Holdings, type LoadSite,
 	type UnitNeed, ORDER_KIND, getBalancingFetch, getClassWeight, getLoadSite, getNextStep,
 	getPrefetch, getFetchers, getSpareReplicas, getUnitName, mutateCopyLoad, mutateWanted,
 	newResidencyState,
 } from '@valelead/residency';
 
 type ResidencyWorld = {
-	replicas: Replica[];
+	replicas: EngineCopyCount[];
 	slots: number;
 	capacity: Capacity;
 	holdings: Holdings;
@@ -310,16 +310,16 @@
 	}
 });
 
-const newReplicas = (count: number, copies: number, emptyCount: number): Replica[] => Array.from({length: count}, (_, index) => ({
+const newEngines = (count: number, copies: number, emptyCount: number): EngineCopyCount[] => Array.from({length: count}, (_, index) => ({
 	upstreamId: `engine-${index}`, copies: index < emptyCount ? 0 : copies,
 }));
 
 Given('{int} engines that keep {int} copies each', function (this: ResidencyWorld, count: number, copies: number) {
-	this.replicas = newReplicas(count, copies, 0);
+	this.replicas = newEngines(count, copies, 0);
 });
 
 Given('{int} engines that keep {int} copies each, {int} of them none', function (this: ResidencyWorld, count: number, copies: number, emptyCount: number) {
-	this.replicas = newReplicas(count, copies, emptyCount);
+	this.replicas = newEngines(count, copies, emptyCount);
 });
 
 Then('{int} engines fetch, the same in any order', function (this: ResidencyWorld, count: number) {
