--- a/packages/placement/src/decide-placement.ts
+++ b/packages/placement/src/decide-placement.ts
@@ -16,7 +16,7 @@
 import type {PlacementVm} from './placement-vm.js';
 import type {PolicySettings} from './policy-settings.js';
 
-/** The number of waiting requests per concurrent request of the replicas' VMs above which one more replica is granted. */
+/** The ratio of a unit's waiting requests to the capacity of the VMs with its replicas at which one more replica is granted. */
 const SCALE_OUT_RATIO = 2;
 
 /** The window in which a reuse of a unit is predicted, in load times of the unit. */
--- a/packages/placement/tests/placement.steps.ts
+++ b/packages/placement/tests/placement.steps.ts
@@ -13,7 +13,7 @@
 
 const GIB = 2 ** 30;
 const ROUND_MS = 50;
-const LONG_MS = 60_000;
+const DISTANT_DEADLINE_MS = 60_000;
 const POLICY: PolicySettings = {
 	coldStartWeight: 1, idleWeight: 0.01, loadsPerSecond: 3, concurrentLoads: 4, assumedLoadMsPerGib: 500,
 };
@@ -33,7 +33,7 @@
 	});
 };
 
-/** One round; what it grants is visible in the next one as loading. */
+/** Decides one round and adds the granted replicas to the VMs, so that the next round sees them as loading. */
 const decide = (world: PlacementWorld, now: number): void => {
 	const decisions = decidePlacement(world.state, POLICY, {units: world.units, vms: world.vms}, now);
 	world.decisions.push(...decisions);
@@ -47,7 +47,7 @@
 
 const getGrants = (world: PlacementWorld): string[] => world.decisions.filter(decision => decision.kind === 'grant').map(decision => decision.unit);
 
-Given('{int} VMs of {int} GiB and {int} cold models of {int} GiB', function (this: PlacementWorld, vms: number, memoryGib: number, models: number, modelGib: number) {
+Given('{int} VM(s) of {int} GiB and {int} cold model(s) of {int} GiB', function (this: PlacementWorld, vms: number, memoryGib: number, models: number, modelGib: number) {
 	this.vms = Array.from({length: vms}, (_, index) => ({
 		name: `vm-${index}`, memoryBytes: memoryGib * GIB, isOpen: true, isDrained: false, inProgress: 0, capacity: 4, cached: new Set<string>(), replicas: [],
 	}));
@@ -56,16 +56,16 @@
 	this.decisions = [];
 });
 
-When('{int} requests wait for model {int} through {int} rounds', function (this: PlacementWorld, waiting: number, model: number, rounds: number) {
-	mutateWaiting(this, model, waiting, 1, LONG_MS);
+When('{int} requests wait for model {int} during {int} rounds', function (this: PlacementWorld, waiting: number, model: number, rounds: number) {
+	mutateWaiting(this, model, waiting, 1, DISTANT_DEADLINE_MS);
 	for (let round = 1; round <= rounds; round += 1) {
 		decide(this, round * ROUND_MS);
 	}
 });
 
-When('{int} requests wait for every model through {int} rounds', function (this: PlacementWorld, waiting: number, rounds: number) {
+When('{int} requests wait for every model during {int} rounds', function (this: PlacementWorld, waiting: number, rounds: number) {
 	for (const index of [...this.units.keys()].keys()) {
-		mutateWaiting(this, index, waiting, 1, LONG_MS);
+		mutateWaiting(this, index, waiting, 1, DISTANT_DEADLINE_MS);
 	}
 
 	for (let round = 1; round <= rounds; round += 1) {
@@ -73,19 +73,19 @@
 	}
 });
 
-When('{int} requests of weight {int} wait for model {int}', function (this: PlacementWorld, waiting: number, weight: number, model: number) {
-	mutateWaiting(this, model, waiting, weight, LONG_MS);
+When('{int} request(s) of weight {int} wait(s) for model {int}', function (this: PlacementWorld, waiting: number, weight: number, model: number) {
+	mutateWaiting(this, model, waiting, weight, DISTANT_DEADLINE_MS);
 });
 
-When('a round is decided', function (this: PlacementWorld) {
+When('one round of placement is decided', function (this: PlacementWorld) {
 	decide(this, 1000);
 });
 
 When('model {int} is loaded and requests wait for it and for model {int}', function (this: PlacementWorld, loaded: number, wanted: number) {
 	const {key, memoryBytes} = this.units.get(`m${loaded}@v1`)!;
 	this.vms = this.vms.map(vm => ({...vm, replicas: [newReplica(key, vm.name, memoryBytes, true)]}));
-	mutateWaiting(this, loaded, 1, 1, LONG_MS);
-	mutateWaiting(this, wanted, 9, 9, LONG_MS);
+	mutateWaiting(this, loaded, 1, 1, DISTANT_DEADLINE_MS);
+	mutateWaiting(this, wanted, 9, 9, DISTANT_DEADLINE_MS);
 	decide(this, 1000);
 });
 
@@ -118,13 +118,13 @@
 	lastArrivalAt: 0, wasPrewarmed: false, burstSize: 1, requestWeight: 1, gaps: [10_000, 20_000, 40_000, 80_000, 160_000],
 };
 
-Then('a higher weight of cold starts keeps models longer', () => {
+Then('a higher cost of cold starts keeps models loaded for longer', () => {
 	const low = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.05, coldStartCost: 1000});
 	const high = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.05, coldStartCost: 10_000});
 	assert.ok(high > low, `${high} is not more than ${low}`);
 });
 
-Then('a higher weight of idle accelerators keeps models shorter', () => {
+Then('a higher cost of idle accelerators keeps models loaded for less time', () => {
 	const low = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.05, coldStartCost: 5000});
 	const high = getKeepLoadedMs(HISTORY, {idleCostPerMs: 0.5, coldStartCost: 5000});
 	assert.ok(high < low, `${high} is not less than ${low}`);
--- a/packages/residency/tests/residency.steps.ts
+++ b/packages/residency/tests/residency.steps.ts
@@ -24,22 +24,22 @@
 	now: number | undefined;
 };
 
-const TIMES = {storeLoadMs: 6000, diskLoadMs: 800, memoryLoadMs: 500};
+const LOAD_TIMES = {storeLoadMs: 6000, diskLoadMs: 800, memoryLoadMs: 500};
 const MODELS = ['a', 'b', 'c', 'd', 'e'];
 const ADAPTERS = ['x', 'y', 'z'];
-const FAR_MS = 100_000;
-const ARRIVAL_MS = 500;
+const DISTANT_DUE_MS = 100_000;
+const ARRIVAL_INTERVAL_MS = 500;
 const OBJECTIVE_MS = 400;
 
 const newCapacity = (weightMemory: number, adapterSlots: number, modelMemory: number, adapterMemory: number): Capacity => ({
 	weightMemory,
 	adapterSlots,
-	models: new Map(MODELS.map(name => [name, {...TIMES, weightMemory: modelMemory, adapterMemory}])),
+	models: new Map(MODELS.map(name => [name, {...LOAD_TIMES, weightMemory: modelMemory, adapterMemory}])),
 });
 
-const split = (text: string): string[] => text.split(', ').filter(Boolean);
+const splitList = (text: string): string[] => text.split(', ').filter(Boolean);
 
-/** Callers leave this long after their objective has passed. */
+/** The time after its latency objective at which a caller gives up, in milliseconds. */
 const PATIENCE_MS = 6000;
 
 const newNeed = (unit: string, waiting: number, inProgress: number, dueInMs: number, rank = 0): UnitNeed => {
@@ -57,7 +57,7 @@
 	};
 };
 
-/** The order that comes next, if there is one. */
+/** The next order to the engine; undefined if a load is delayed or there is nothing to do. */
 const getNextOrder = (...terms: Parameters<typeof getNextStep>): EngineOrder | undefined => {
 	const step = getNextStep(...terms);
 	return step.kind === 'order' ? step.order : undefined;
@@ -65,7 +65,7 @@
 
 const format = (order: EngineOrder | undefined): string => order ? `${order.kind} ${getUnitName(order.model, order.adapter)}` : '';
 
-Given('an engine of {int} units of memory and {int} adapter slots, with models of {int} units and adapters of {int} unit', function (
+Given('an engine with {int} MB of memory and {int} adapter slots, with models of {int} MB and adapters of {int} MB', function (
 	this: ResidencyWorld,
 	memory: number,
 	slots: number,
@@ -77,62 +77,62 @@
 	this.needs = [];
 });
 
-const hold = (world: ResidencyWorld, held: string, copies: readonly string[]): void => {
+const setLoadedModels = (world: ResidencyWorld, held: string, copies: readonly string[]): void => {
 	world.holdings = {
 		isBusy: false,
 		replicated: new Set(),
 		copiesInMemory: [],
 		copiesOnDisk: copies,
 		lateLoads: [],
-		models: split(held).map(text => ({name: text.split('+')[0], adapters: text.split('+').slice(1)})),
+		models: splitList(held).map(text => ({name: text.split('+')[0], adapters: text.split('+').slice(1)})),
 	};
 };
 
-Given('it holds {string} with copies of all', function (this: ResidencyWorld, held: string) {
-	hold(this, held, MODELS);
+Given('it has loaded {string} and has copies of all models', function (this: ResidencyWorld, held: string) {
+	setLoadedModels(this, held, MODELS);
 });
 
-Given('it holds {string} with copies of {string}', function (this: ResidencyWorld, held: string, copies: string) {
-	hold(this, held, split(copies));
+Given('it has loaded {string} and has copies of {string}', function (this: ResidencyWorld, held: string, copies: string) {
+	setLoadedModels(this, held, splitList(copies));
 });
 
-Given('other engines hold {string} too', function (this: ResidencyWorld, models: string) {
-	this.holdings = {...this.holdings, replicated: new Set(split(models))};
+Given('other engines have also loaded {string}', function (this: ResidencyWorld, models: string) {
+	this.holdings = {...this.holdings, replicated: new Set(splitList(models))};
 });
 
 Given('it is busy', function (this: ResidencyWorld) {
 	this.holdings = {...this.holdings, isBusy: true};
 });
 
-Given('the models were used at times {string}', function (this: ResidencyWorld, uses: string) {
-	for (const use of split(uses)) {
+Given('the models were last used at times {string}', function (this: ResidencyWorld, uses: string) {
+	for (const use of splitList(uses)) {
 		const [model, usedAt] = use.split(':');
 		this.state.lastUsedAt.set(model, Number(usedAt));
 	}
 });
 
 When('{int} request waits for {string}', function (this: ResidencyWorld, count: number, unit: string) {
-	this.needs.push(newNeed(unit, count, 0, FAR_MS));
+	this.needs.push(newNeed(unit, count, 0, DISTANT_DUE_MS));
 });
 
-When('{int} request(s) of rank {int} that is due in {int} ms wait(s) for {string}', function (this: ResidencyWorld, count: number, rank: number, dueInMs: number, unit: string) {
+When('{int} request(s) of rank {int} due in {int} ms wait(s) for {string}', function (this: ResidencyWorld, count: number, rank: number, dueInMs: number, unit: string) {
 	this.needs.push(newNeed(unit, count, 0, dueInMs, rank));
 });
 
-When('{int} request that is due in {int} ms waits for {string}', function (this: ResidencyWorld, count: number, dueInMs: number, unit: string) {
+When('{int} request due in {int} ms waits for {string}', function (this: ResidencyWorld, count: number, dueInMs: number, unit: string) {
 	this.needs.push(newNeed(unit, count, 0, dueInMs));
 });
 
-When('requests for {string} come for {int} ms, each given up after {int} ms', function (this: ResidencyWorld, unit: string, lengthMs: number, patienceMs: number) {
-	for (let now = 0; now <= lengthMs; now += ARRIVAL_MS) {
-		const arrivals = Array.from({length: (now / ARRIVAL_MS) + 1}, (_, index) => index * ARRIVAL_MS).filter(arrivedAt => now - arrivedAt < patienceMs);
+When('requests for {string} arrive for {int} ms and each caller gives up after {int} ms', function (this: ResidencyWorld, unit: string, lengthMs: number, patienceMs: number) {
+	for (let now = 0; now <= lengthMs; now += ARRIVAL_INTERVAL_MS) {
+		const arrivals = Array.from({length: (now / ARRIVAL_INTERVAL_MS) + 1}, (_, index) => index * ARRIVAL_INTERVAL_MS).filter(arrivedAt => now - arrivedAt < patienceMs);
 		this.needs = [newNeed(unit, arrivals.length, 0, arrivals[0] + OBJECTIVE_MS - now)];
 		mutateWanted(this.state, this.needs, now);
 	}
 });
 
 When('{string} has {int} request in progress', function (this: ResidencyWorld, unit: string, count: number) {
-	this.needs.push(newNeed(unit, 0, count, FAR_MS));
+	this.needs.push(newNeed(unit, 0, count, DISTANT_DUE_MS));
 });
 
 Then('the next order is {string}', function (this: ResidencyWorld, order: string) {
@@ -143,7 +143,7 @@
 	assert.equal(getNextOrder(this.state, this.capacity, this.holdings, this.needs, this.now ?? 0), undefined);
 });
 
-Then('the load of {string} is delayed as {string}', function (this: ResidencyWorld, model: string, reason: string) {
+Then('the load of {string} is delayed with reason {string}', function (this: ResidencyWorld, model: string, reason: string) {
 	assert.deepEqual(getNextStep(this.state, this.capacity, this.holdings, this.needs, this.now ?? 0), {kind: 'delay', load: {model, reason}});
 });
 
@@ -157,8 +157,8 @@
 	return sum;
 };
 
-/** The models after an order, as an engine would hold them. */
-const apply = (models: Holdings['models'], {kind, model, adapter}: EngineOrder): Holdings['models'] => {
+/** The models that the engine has loaded after it has carried out an order. */
+const getModelsAfter = (models: Holdings['models'], {kind, model, adapter}: EngineOrder): Holdings['models'] => {
 	if (adapter === '') {
 		return kind === ORDER_KIND.Load ? [...models, {name: model, adapters: []}] : models.filter(held => held.name !== model);
 	}
@@ -172,7 +172,7 @@
 		return;
 	}
 
-	const models = apply(holdings.models, order);
+	const models = getModelsAfter(holdings.models, order);
 	const isNeeded = needs.some(need => need.waiting + need.inProgress > 0 && need.model === order.model && (order.adapter === '' || need.adapter === order.adapter));
 	assert.equal(isNeeded, order.kind === ORDER_KIND.Load, format(order));
 	if (order.kind === ORDER_KIND.Load) {
@@ -181,7 +181,7 @@
 	}
 };
 
-When('{int} random states of an engine are decided on', (runs: number) => {
+When('the next order is decided for {int} random states of an engine', (runs: number) => {
 	const held = fc.record({name: fc.constantFrom(...MODELS), adapters: fc.uniqueArray(fc.constantFrom(...ADAPTERS), {maxLength: 2})});
 	const holdings = fc.record({
 		models: fc.uniqueArray(held, {selector: model => model.name, maxLength: 3}),
@@ -205,12 +205,12 @@
 	}), {numRuns: runs, seed: 11});
 });
 
-Then('no order breaks a limit', () => undefined);
+Then('no order exceeds a limit or unloads a needed unit', () => undefined);
 
-Given('sites', function (this: ResidencyWorld, rows: DataTable) {
+Given('the candidate engines', function (this: ResidencyWorld, rows: DataTable) {
 	this.sites = rows.hashes().map(row => ({
 		upstreamId: row.engine,
-		isHeld: row.held === 'yes',
+		isHeld: row.loaded === 'yes',
 		hasMemoryCopy: row.memory === 'yes',
 		hasDiskCopy: row.disk === 'yes',
 		copyShare: row.copies === undefined ? 1 : Number(row.copies),
@@ -223,78 +223,78 @@
 	}));
 });
 
-Then('the site for {string} is one of {string} in any order of the sites', function (this: ResidencyWorld, model: string, expected: string) {
-	const chosen = getLoadSite(model, TIMES, this.sites)!.upstreamId;
-	assert.ok(split(expected).includes(chosen), chosen);
-	assert.equal(getLoadSite(model, TIMES, [...this.sites].reverse())!.upstreamId, chosen);
+Then('the engine chosen to load {string} is one of {string}, whatever the order of the candidates', function (this: ResidencyWorld, model: string, expected: string) {
+	const chosen = getLoadSite(model, LOAD_TIMES, this.sites)!.upstreamId;
+	assert.ok(splitList(expected).includes(chosen), chosen);
+	assert.equal(getLoadSite(model, LOAD_TIMES, [...this.sites].reverse())!.upstreamId, chosen);
 });
 
-Given('{int} idle engines that keep {string} of the models {string}', function (this: ResidencyWorld, count: number, kept: string, models: string) {
-	this.models = split(models);
-	this.engines = Array.from({length: count}, (_, index) => ({upstreamId: `engine-${index}`, models: new Set(split(kept)), held: new Set()}));
+Given('{int} idle engines with copies of {string} out of the models {string}', function (this: ResidencyWorld, count: number, kept: string, models: string) {
+	this.models = splitList(models);
+	this.engines = Array.from({length: count}, (_, index) => ({upstreamId: `engine-${index}`, models: new Set(splitList(kept)), held: new Set()}));
 });
 
-Then('together they fetch {int} different models with {int} loads at once', function (this: ResidencyWorld, count: number, loads: number) {
+Then('together they prefetch {int} different models with {int} concurrent fetches', function (this: ResidencyWorld, count: number, loads: number) {
 	const fetched = this.engines.map(engine => getPrefetch(engine.upstreamId, this.models, this.engines, loads)).filter(model => model !== undefined);
 	assert.equal(fetched.length, count);
 	assert.equal(new Set(fetched).size, count);
 });
 
-Given('replicas {string} of a model on engines of {int} slots', function (this: ResidencyWorld, names: string, slots: number) {
+Given('replicas {string} of a model on engines with {int} slots', function (this: ResidencyWorld, names: string, slots: number) {
 	this.slots = slots;
-	this.models = split(names);
+	this.models = splitList(names);
 });
 
 Given('replicas {string} of a model', function (this: ResidencyWorld, ids: string) {
 	this.slots = 64;
-	this.models = split(ids);
+	this.models = splitList(ids);
 });
 
 When('{int} requests are in progress', function (this: ResidencyWorld, count: number) {
 	this.inProgress = count;
 });
 
-Then('{int} of the replicas are spare, the same in any order', function (this: ResidencyWorld, count: number) {
+Then('{int} of the replicas are surplus, whatever their order', function (this: ResidencyWorld, count: number) {
 	const replicas = this.models.map(upstreamId => ({upstreamId, copies: 10}));
 	const spare = getSpareReplicas('m', replicas, this.inProgress, this.slots);
 	assert.equal(spare.size, count);
 	assert.deepEqual(getSpareReplicas('m', [...replicas].reverse(), this.inProgress, this.slots), spare);
 });
 
-Then('with few copies on {string} the others are spare', function (this: ResidencyWorld, short: string) {
+Then('with few copies on {string} the other replicas are surplus', function (this: ResidencyWorld, short: string) {
 	const replicas = this.models.map(upstreamId => ({upstreamId, copies: upstreamId === short ? 2 : 10}));
 	assert.deepEqual([...getSpareReplicas('m', replicas, 1, 64)].sort(), this.models.filter(id => id !== short).sort());
 });
 
-When('requests for {string} come for {int} ms, each answered from a copy in time, while {int} request waits for {string}', function (
+When('requests for {string} arrive for {int} ms and each is served in time from a copy, while {int} request waits for {string}', function (
 	this: ResidencyWorld,
 	other: string,
 	lengthMs: number,
 	count: number,
 	unit: string,
 ) {
-	for (let now = 0; now <= lengthMs; now += ARRIVAL_MS) {
-		this.needs = [newNeed(unit, count, 0, OBJECTIVE_MS - now), newNeed(other, 1, 0, FAR_MS)];
+	for (let now = 0; now <= lengthMs; now += ARRIVAL_INTERVAL_MS) {
+		this.needs = [newNeed(unit, count, 0, OBJECTIVE_MS - now), newNeed(other, 1, 0, DISTANT_DUE_MS)];
 		mutateWanted(this.state, [newNeed(unit, count, 0, OBJECTIVE_MS - now)], now);
 	}
 });
 
-Given('engines that keep {string}, {string} and {string}', function (this: ResidencyWorld, first: string, second: string, third: string) {
-	this.engines = [first, second, third].map((kept, index) => ({upstreamId: `engine-${index}`, models: new Set(split(kept)), held: new Set()}));
+Given('engines with copies of {string}, {string} and {string}', function (this: ResidencyWorld, first: string, second: string, third: string) {
+	this.engines = [first, second, third].map((kept, index) => ({upstreamId: `engine-${index}`, models: new Set(splitList(kept)), held: new Set()}));
 });
 
 const getFetched = (world: ResidencyWorld): Array<string | undefined> => world.engines.map(({upstreamId}) => getBalancingFetch(upstreamId, MODELS, world.engines, 4));
 
-Then('the engine that keeps {string} fetches one of {string} and no other engine fetches', function (this: ResidencyWorld, kept: string, models: string) {
+Then('the engine with copies of {string} fetches one of {string} and no other engine fetches', function (this: ResidencyWorld, kept: string, models: string) {
 	const fetched = getFetched(this);
 	for (const [index, engine] of this.engines.entries()) {
 		const isFetching = [...engine.models].join(', ') === kept;
 		assert.equal(fetched[index] !== undefined, isFetching);
-		assert.ok(!isFetching || split(models).includes(fetched[index]!), fetched[index]);
+		assert.ok(!isFetching || splitList(models).includes(fetched[index]!), fetched[index]);
 	}
 });
 
-Then('the engine that keeps {string} fetches {string} where no engine keeps it', function (this: ResidencyWorld, kept: string, model: string) {
+Then('the engine with copies of {string} fetches {string}, of which no engine has a copy', function (this: ResidencyWorld, kept: string, model: string) {
 	const index = this.engines.findIndex(engine => [...engine.models].join(', ') === kept);
 	assert.equal(getFetched(this)[index], model);
 });
@@ -303,7 +303,7 @@
 	assert.deepEqual(getFetched(this), this.engines.map(() => undefined));
 });
 
-When('the engine has loaded copies for {int} request(s) in time a second over the last {int} s', function (this: ResidencyWorld, count: number, seconds: number) {
+When('the engine has served {int} request(s) per second in time by loads from copies over the last {int} s', function (this: ResidencyWorld, count: number, seconds: number) {
 	for (let second = 1; second <= seconds; second += 1) {
 		this.now = second * 1000;
 		mutateCopyLoad(this.state, count, this.now);
@@ -314,15 +314,15 @@
 	upstreamId: `engine-${index}`, copies: index < emptyCount ? 0 : copies,
 }));
 
-Given('{int} engines that keep {int} copies each', function (this: ResidencyWorld, count: number, copies: number) {
+Given('{int} engines with {int} copies each', function (this: ResidencyWorld, count: number, copies: number) {
 	this.replicas = newEngines(count, copies, 0);
 });
 
-Given('{int} engines that keep {int} copies each, {int} of them none', function (this: ResidencyWorld, count: number, copies: number, emptyCount: number) {
+Given('{int} engines with {int} copies each, {int} of them without copies', function (this: ResidencyWorld, count: number, copies: number, emptyCount: number) {
 	this.replicas = newEngines(count, copies, emptyCount);
 });
 
-Then('{int} engines fetch, the same in any order', function (this: ResidencyWorld, count: number) {
+Then('{int} engines may fetch, whatever their order', function (this: ResidencyWorld, count: number) {
 	const fetchers = getFetchers(this.replicas, Number.POSITIVE_INFINITY);
 	assert.equal(fetchers.size, count);
 	assert.deepEqual(getFetchers([...this.replicas].reverse(), Number.POSITIVE_INFINITY), fetchers);
