--- a/packages/placement/src/decide-placement.ts
+++ b/packages/placement/src/decide-placement.ts
@@ -39,15 +39,15 @@
 	}
 
 	decide(): PlacementDecision[] {
-		this.#revokeUnwanted();
-		const wanted = this.#getWanted();
-		for (const unit of wanted) {
+		this.#revokeObsolete();
+		const unitsToLoad = this.#getUnitsToLoad();
+		for (const unit of unitsToLoad) {
 			this.#round.place(unit, true, false);
 		}
 
 		this.#placeMinimum();
 		this.#revokeIdle();
-		if (wanted.length === 0) {
+		if (unitsToLoad.length === 0) {
 			this.#prewarm();
 		}
 
@@ -55,23 +55,23 @@
 	}
 
 	/** Revokes replicas of units that are stopped, no longer declared or above their replica limit, and all replicas on drained VMs. */
-	#revokeUnwanted(): void {
+	#revokeObsolete(): void {
 		for (const replica of this.#getReplicas()) {
 			const unit = this.#view.units.get(replica.unit);
 			const vm = this.#view.vms.find(candidate => candidate.name === replica.vm);
-			const isUnwanted = !unit || unit.isStopped || unit.freeReplicas < 0;
-			if (!replica.isRevoking && (isUnwanted || vm?.isDrained)) {
+			const isObsolete = !unit || unit.isStopped || unit.freeReplicas < 0;
+			if (!replica.isRevoking && (isObsolete || vm?.isDrained)) {
 				this.#round.revoke(replica);
 			}
 		}
 	}
 
-	#getWanted(): PlacementUnit[] {
-		const wanted = [...this.#view.units.values()].filter(unit => this.#isWanted(unit));
-		return wanted.sort((left, right) => getLoadPriority(this.#state, right) - getLoadPriority(this.#state, left));
+	#getUnitsToLoad(): PlacementUnit[] {
+		const unitsToLoad = [...this.#view.units.values()].filter(unit => this.#needsReplica(unit));
+		return unitsToLoad.sort((left, right) => getLoadPriority(this.#state, right) - getLoadPriority(this.#state, left));
 	}
 
-	#isWanted(unit: PlacementUnit): boolean {
+	#needsReplica(unit: PlacementUnit): boolean {
 		if (unit.waiting === 0 || unit.isStopped || unit.freeReplicas <= 0 || this.#round.hasLoad(unit.key)) {
 			return false;
 		}
--- a/packages/placement/src/get-evictions.ts
+++ b/packages/placement/src/get-evictions.ts
@@ -19,8 +19,8 @@
 
 const isEvictable = (replica: PlacementReplica, vm: PlacementVm, view: PlacementView, neededBase: string): boolean => {
 	const isBase = vm.replicas.some(other => !other.isRevoking && view.units.get(other.unit)?.base === replica.unit);
-	const isWanted = (view.units.get(replica.unit)?.waiting ?? 0) > 0;
-	return replica.isReady && !replica.isRevoking && replica.inProgress === 0 && !isWanted && !isBase && replica.unit !== neededBase;
+	const hasWaiting = (view.units.get(replica.unit)?.waiting ?? 0) > 0;
+	return replica.isReady && !replica.isRevoking && replica.inProgress === 0 && !hasWaiting && !isBase && replica.unit !== neededBase;
 };
 
 /**
--- a/packages/residency/src/get-aging-factor.ts
+++ b/packages/residency/src/get-aging-factor.ts
@@ -4,5 +4,5 @@
  */
 const DOUBLING_MS = 2500;
 
-/** The factor by which the value of a load grows because requests have been waiting for its model for `wantedMs` milliseconds. */
-export const getAgingFactor = (wantedMs: number): number => 2 ** (wantedMs / DOUBLING_MS);
+/** The factor by which the value of a load grows because requests have been waiting for its model for `waitMs` milliseconds. */
+export const getAgingFactor = (waitMs: number): number => 2 ** (waitMs / DOUBLING_MS);
--- a/packages/residency/src/get-expected-ms.ts
+++ b/packages/residency/src/get-expected-ms.ts
@@ -12,15 +12,15 @@
 const EVICTION_WAIT_MS = 1500;
 
 /** The expected time until a model is loaded on an engine, in milliseconds, including queued loads and eviction. */
-export const getExpectedMs = (site: LoadSite, times: LoadTimes): number => {
-	if (site.isHeld) {
-		return site.busyMs;
+export const getExpectedMs = (candidate: LoadSite, times: LoadTimes): number => {
+	if (candidate.isHeld) {
+		return candidate.busyMs;
 	}
 
-	const evictionWaitMs = site.isInUse ? EVICTION_WAIT_MS : 0;
-	if (site.remainingMs !== undefined) {
-		return site.remainingMs + (site.isStarted ? 0 : evictionWaitMs);
+	const evictionWaitMs = candidate.isInUse ? EVICTION_WAIT_MS : 0;
+	if (candidate.remainingMs !== undefined) {
+		return candidate.remainingMs + (candidate.isStarted ? 0 : evictionWaitMs);
 	}
 
-	return site.queueMs + evictionWaitMs + (getLoadCostMs(site, times) * (1 + (site.pressure * UTILIZATION_SLOWDOWN)));
+	return candidate.queueMs + evictionWaitMs + (getLoadCostMs(candidate, times) * (1 + (candidate.pressure * UTILIZATION_SLOWDOWN)));
 };
--- a/packages/residency/src/get-fetchers.ts
+++ b/packages/residency/src/get-fetchers.ts
@@ -16,11 +16,11 @@
 /**
  * The ids of the engines that may fetch models from the weight store. Engines with few copies come first, because they can load little
  * else; the remaining places go to engines chosen by a hash of their ids, so that all gateways choose the same ones.
- * @param atOnce - The number of concurrent fetches that the store is estimated to serve at full speed.
+ * @param maxFetches - The number of concurrent fetches that the store is estimated to serve at full speed.
  */
-export const getFetchers = (engines: readonly EngineCopyCount[], atOnce: number): ReadonlySet<string> => {
+export const getFetchers = (engines: readonly EngineCopyCount[], maxFetches: number): ReadonlySet<string> => {
 	const ranked = getEnginesRankedByCopies(engines, getHash);
-	const shortCount = ranked.filter(engine => engine.hasFewCopies).length;
-	const count = Math.min(atOnce, Math.max(shortCount, Math.ceil(ranked.length * FETCHER_SHARE)));
+	const fewCopiesCount = ranked.filter(engine => engine.hasFewCopies).length;
+	const count = Math.min(maxFetches, Math.max(fewCopiesCount, Math.ceil(ranked.length * FETCHER_SHARE)));
 	return new Set(ranked.slice(0, count).map(engine => engine.upstreamId));
 };
--- a/packages/residency/src/get-model-to-unload.ts
+++ b/packages/residency/src/get-model-to-unload.ts
@@ -6,25 +6,25 @@
  * The time at which a model counts as last used. An unused model that is also loaded on other engines counts as used at time 0, and a
  * model without a copy on this engine as used last of all, so that other models are unloaded first.
  */
-const getLastUsedAt = (state: ResidencyState, holdings: Holdings, name: string): number => {
-	const hasCopy = holdings.copiesOnDisk.includes(name) || holdings.copiesInMemory.includes(name);
+const getLastUsedAt = (state: ResidencyState, engine: Holdings, name: string): number => {
+	const hasCopy = engine.copiesOnDisk.includes(name) || engine.copiesInMemory.includes(name);
 	if (!hasCopy) {
 		return Number.MAX_VALUE;
 	}
 
-	return state.lastUsedAt.get(name) ?? (holdings.replicated.has(name) ? 0 : Number.NEGATIVE_INFINITY);
+	return state.lastUsedAt.get(name) ?? (engine.replicated.has(name) ? 0 : Number.NEGATIVE_INFINITY);
 };
 
 /**
  * The least recently used loaded model that no request waits for or uses. A model without a copy on the engine is chosen last, because
  * loading it again would need the weight store. Undefined if all loaded models are needed.
  */
-export const getModelToUnload = (state: ResidencyState, holdings: Holdings, needs: readonly UnitNeed[]): string | undefined => {
+export const getModelToUnload = (state: ResidencyState, engine: Holdings, needs: readonly UnitNeed[]): string | undefined => {
 	const needed = new Set(needs.filter(need => need.waiting + need.inProgress > 0).map(need => need.model));
 	let idle: string | undefined;
 	let idleSince = Number.POSITIVE_INFINITY;
-	for (const {name} of holdings.models) {
-		const usedAt = getLastUsedAt(state, holdings, name);
+	for (const {name} of engine.models) {
+		const usedAt = getLastUsedAt(state, engine, name);
 		if (!needed.has(name) && (idle === undefined || usedAt < idleSince)) {
 			idle = name;
 			idleSince = usedAt;
--- a/packages/residency/src/get-next-step.ts
+++ b/packages/residency/src/get-next-step.ts
@@ -23,37 +23,37 @@
  * by its recent rate: one such load takes as long as about nine swaps. Its value grows with the waiting time, so it runs eventually.
  * If such loads began in every pause of the queue, there would be 19 of them instead of 16 in the simulated pattern mixed-losses.
  */
-const isDisplacingCopyLoads = (state: ResidencyState, capacity: Capacity, holdings: Holdings, model: string, needs: readonly UnitNeed[], now: number): boolean => {
-	const loadMs = getLoadMs(capacity, holdings, model);
+const isDisplacingCopyLoads = (state: ResidencyState, capacity: Capacity, engine: Holdings, model: string, needs: readonly UnitNeed[], now: number): boolean => {
+	const loadMs = getLoadMs(capacity, engine, model);
 	const value = getLoadValue(getWaits(needs, model), loadMs) * getAgingFactor(getWantedMs(state, model));
-	return isStoreLoad(capacity, holdings, model) && value > 0 && value < getCopyLoadRate(state, now) * loadMs;
+	return isStoreLoad(capacity, engine, model) && value > 0 && value < getCopyLoadRate(state, now) * loadMs;
 };
 
 const NO_STEP: LoadStep = {kind: 'rest'};
 
 const newModelOrder = (kind: EngineOrder['kind'], model: string): LoadStep => ({kind: 'order', order: {kind, model, adapter: ''}});
 
-const getModelStep = (state: ResidencyState, capacity: Capacity, holdings: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
-	const held = new Set(holdings.models.map(model => model.name));
+const getModelStep = (state: ResidencyState, capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
+	const loaded = new Set(engine.models.map(model => model.name));
 	const queue = getLoadQueue({
-		held, needs, getLoadMs: model => getLoadMs(capacity, holdings, model), getWantedMs: model => getWantedMs(state, model),
+		held: loaded, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getWantedMs: model => getWantedMs(state, model),
 	});
-	const wanted = queue.find(model => capacity.models.has(model));
-	if (wanted === undefined) {
+	const nextModel = queue.find(model => capacity.models.has(model));
+	if (nextModel === undefined) {
 		return NO_STEP;
 	}
 
-	if (isDisplacingCopyLoads(state, capacity, holdings, wanted, needs, now)) {
-		return {kind: 'delay', load: {model: wanted, reason: LOAD_DELAY.CopiesFirst}};
+	if (isDisplacingCopyLoads(state, capacity, engine, nextModel, needs, now)) {
+		return {kind: 'delay', load: {model: nextModel, reason: LOAD_DELAY.CopiesFirst}};
 	}
 
-	const {weightMemory} = capacity.models.get(wanted)!;
-	if (getUsedMemory(capacity, holdings) + weightMemory <= capacity.weightMemory) {
-		return newModelOrder(ORDER_KIND.Load, wanted);
+	const {weightMemory} = capacity.models.get(nextModel)!;
+	if (getUsedMemory(capacity, engine) + weightMemory <= capacity.weightMemory) {
+		return newModelOrder(ORDER_KIND.Load, nextModel);
 	}
 
-	const idle = getModelToUnload(state, holdings, needs);
-	return idle === undefined ? {kind: 'delay', load: {model: wanted, reason: LOAD_DELAY.NoIdleModel}} : newModelOrder(ORDER_KIND.Unload, idle);
+	const idle = getModelToUnload(state, engine, needs);
+	return idle === undefined ? {kind: 'delay', load: {model: nextModel, reason: LOAD_DELAY.NoIdleModel}} : newModelOrder(ORDER_KIND.Unload, idle);
 };
 
 /**
@@ -62,11 +62,11 @@
  * every order while it loads a model.
  * @param now - Monotonic time in milliseconds.
  */
-export const getNextStep = (state: ResidencyState, capacity: Capacity, holdings: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
-	if (holdings.isBusy) {
+export const getNextStep = (state: ResidencyState, capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
+	if (engine.isBusy) {
 		return NO_STEP;
 	}
 
-	const order = getAdapterOrder(state, capacity, holdings, needs);
-	return order ? {kind: 'order', order} : getModelStep(state, capacity, holdings, needs, now);
+	const order = getAdapterOrder(state, capacity, engine, needs);
+	return order ? {kind: 'order', order} : getModelStep(state, capacity, engine, needs, now);
 };
--- a/packages/residency/src/get-soonest-ms.ts
+++ b/packages/residency/src/get-soonest-ms.ts
@@ -6,10 +6,10 @@
  * The earliest time at which an engine can have a model loaded, in milliseconds from now: at the end of its queued load if it has one,
  * otherwise right after the load in progress.
  */
-export const getSoonestMs = (site: LoadSite, times: LoadTimes): number => {
-	if (site.isHeld) {
-		return site.busyMs;
+export const getSoonestMs = (candidate: LoadSite, times: LoadTimes): number => {
+	if (candidate.isHeld) {
+		return candidate.busyMs;
 	}
 
-	return site.remainingMs ?? (site.busyMs + getLoadCostMs(site, times));
+	return candidate.remainingMs ?? (candidate.busyMs + getLoadCostMs(candidate, times));
 };
--- a/packages/residency/src/get-used-memory.ts
+++ b/packages/residency/src/get-used-memory.ts
@@ -5,17 +5,17 @@
  * The memory of loaded models and adapters, and of unconfirmed loads that may still begin, in megabytes. A loaded model that is no longer
  * in the configuration has an unknown size and counts as the whole memory, so that nothing is loaded beside it.
  */
-export const getUsedMemory = (capacity: Capacity, holdings: Holdings): number => {
+export const getUsedMemory = (capacity: Capacity, engine: Holdings): number => {
 	let used = 0;
-	for (const {name, adapters} of holdings.models) {
+	for (const {name, adapters} of engine.models) {
 		const size = capacity.models.get(name);
 		used += size ? size.weightMemory + (size.adapterMemory * adapters.length) : capacity.weightMemory;
 	}
 
-	const held = new Set(holdings.models.map(model => model.name));
-	for (const {model, adapter} of holdings.lateLoads) {
+	const loaded = new Set(engine.models.map(model => model.name));
+	for (const {model, adapter} of engine.lateLoads) {
 		const size = capacity.models.get(model);
-		const modelMemory = held.has(model) ? 0 : size?.weightMemory ?? 0;
+		const modelMemory = loaded.has(model) ? 0 : size?.weightMemory ?? 0;
 		used += adapter === '' ? modelMemory : size?.adapterMemory ?? 0;
 	}
 
--- a/packages/residency/src/is-store-load.ts
+++ b/packages/residency/src/is-store-load.ts
@@ -3,5 +3,5 @@
 import type {Holdings} from './holdings.js';
 
 /** True if a load of the model would be a fetch from the weight store, or would take at least as long as one. */
-export const isStoreLoad = (capacity: Capacity, holdings: Holdings, model: string): boolean =>
-	getLoadMs(capacity, holdings, model) >= (capacity.models.get(model)?.storeLoadMs ?? Number.POSITIVE_INFINITY);
+export const isStoreLoad = (capacity: Capacity, engine: Holdings, model: string): boolean =>
+	getLoadMs(capacity, engine, model) >= (capacity.models.get(model)?.storeLoadMs ?? Number.POSITIVE_INFINITY);
--- a/packages/residency/tests/residency.steps.ts
+++ b/packages/residency/tests/residency.steps.ts
@@ -14,10 +14,10 @@
 	replicas: EngineCopyCount[];
 	slots: number;
 	capacity: Capacity;
-	holdings: Holdings;
+	engine: Holdings;
 	state: ReturnType<typeof newResidencyState>;
 	needs: UnitNeed[];
-	sites: LoadSite[];
+	candidates: LoadSite[];
 	engines: EngineCopies[];
 	models: string[];
 	inProgress: number;
@@ -78,7 +78,7 @@
 });
 
 const setLoadedModels = (world: ResidencyWorld, held: string, copies: readonly string[]): void => {
-	world.holdings = {
+	world.engine = {
 		isBusy: false,
 		replicated: new Set(),
 		copiesInMemory: [],
@@ -97,11 +97,11 @@
 });
 
 Given('other engines have also loaded {string}', function (this: ResidencyWorld, models: string) {
-	this.holdings = {...this.holdings, replicated: new Set(splitList(models))};
+	this.engine = {...this.engine, replicated: new Set(splitList(models))};
 });
 
 Given('it is busy', function (this: ResidencyWorld) {
-	this.holdings = {...this.holdings, isBusy: true};
+	this.engine = {...this.engine, isBusy: true};
 });
 
 Given('the models were last used at times {string}', function (this: ResidencyWorld, uses: string) {
@@ -136,15 +136,15 @@
 });
 
 Then('the next order is {string}', function (this: ResidencyWorld, order: string) {
-	assert.equal(format(getNextOrder(this.state, this.capacity, this.holdings, this.needs, this.now ?? 0)), order);
+	assert.equal(format(getNextOrder(this.state, this.capacity, this.engine, this.needs, this.now ?? 0)), order);
 });
 
 Then('there is no next order', function (this: ResidencyWorld) {
-	assert.equal(getNextOrder(this.state, this.capacity, this.holdings, this.needs, this.now ?? 0), undefined);
+	assert.equal(getNextOrder(this.state, this.capacity, this.engine, this.needs, this.now ?? 0), undefined);
 });
 
 Then('the load of {string} is delayed with reason {string}', function (this: ResidencyWorld, model: string, reason: string) {
-	assert.deepEqual(getNextStep(this.state, this.capacity, this.holdings, this.needs, this.now ?? 0), {kind: 'delay', load: {model, reason}});
+	assert.deepEqual(getNextStep(this.state, this.capacity, this.engine, this.needs, this.now ?? 0), {kind: 'delay', load: {model, reason}});
 });
 
 const getMemory = (capacity: Capacity, models: Holdings['models']): number => {
@@ -166,13 +166,13 @@
 	return models.map(held => held.name === model ? {name: model, adapters: kind === ORDER_KIND.Load ? [...held.adapters, adapter] : held.adapters.filter(name => name !== adapter)} : held);
 };
 
-const checkOrder = (capacity: Capacity, holdings: Holdings, needs: readonly UnitNeed[]): void => {
-	const order = getNextOrder(newResidencyState(), capacity, holdings, needs, 0);
+const checkOrder = (capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[]): void => {
+	const order = getNextOrder(newResidencyState(), capacity, engine, needs, 0);
 	if (!order) {
 		return;
 	}
 
-	const models = getModelsAfter(holdings.models, order);
+	const models = getModelsAfter(engine.models, order);
 	const isNeeded = needs.some(need => need.waiting + need.inProgress > 0 && need.model === order.model && (order.adapter === '' || need.adapter === order.adapter));
 	assert.equal(isNeeded, order.kind === ORDER_KIND.Load, format(order));
 	if (order.kind === ORDER_KIND.Load) {
@@ -183,7 +183,7 @@
 
 When('the next order is decided for {int} random states of an engine', (runs: number) => {
 	const held = fc.record({name: fc.constantFrom(...MODELS), adapters: fc.uniqueArray(fc.constantFrom(...ADAPTERS), {maxLength: 2})});
-	const holdings = fc.record({
+	const engine = fc.record({
 		models: fc.uniqueArray(held, {selector: model => model.name, maxLength: 3}),
 		isBusy: fc.boolean(),
 		replicated: fc.constant(new Set<string>()),
@@ -200,7 +200,7 @@
 			count: fc.nat(2), weight: fc.nat(2), dueInMs: fc.integer({min: -10_000, max: 10_000}), leavesInMs: fc.integer({min: -10_000, max: 10_000}),
 		}), {maxLength: 2}),
 	});
-	fc.assert(fc.property(holdings, fc.array(need, {maxLength: 6}), (state, needs) => {
+	fc.assert(fc.property(engine, fc.array(need, {maxLength: 6}), (state, needs) => {
 		checkOrder(newCapacity(230, 4, 70, 5), state, needs);
 	}), {numRuns: runs, seed: 11});
 });
@@ -208,7 +208,7 @@
 Then('no order exceeds a limit or unloads a needed unit', () => undefined);
 
 Given('the candidate engines', function (this: ResidencyWorld, rows: DataTable) {
-	this.sites = rows.hashes().map(row => ({
+	this.candidates = rows.hashes().map(row => ({
 		upstreamId: row.engine,
 		isHeld: row.loaded === 'yes',
 		hasMemoryCopy: row.memory === 'yes',
@@ -224,9 +224,9 @@
 });
 
 Then('the engine chosen to load {string} is one of {string}, whatever the order of the candidates', function (this: ResidencyWorld, model: string, expected: string) {
-	const chosen = getLoadSite(model, LOAD_TIMES, this.sites)!.upstreamId;
+	const chosen = getLoadSite(model, LOAD_TIMES, this.candidates)!.upstreamId;
 	assert.ok(splitList(expected).includes(chosen), chosen);
-	assert.equal(getLoadSite(model, LOAD_TIMES, [...this.sites].reverse())!.upstreamId, chosen);
+	assert.equal(getLoadSite(model, LOAD_TIMES, [...this.candidates].reverse())!.upstreamId, chosen);
 });
 
 Given('{int} idle engines with copies of {string} out of the models {string}', function (this: ResidencyWorld, count: number, kept: string, models: string) {
