--- a/packages/residency/src/get-model-to-unload.ts
+++ b/packages/residency/src/get-model-to-unload.ts
@@ -3,8 +3,8 @@
 import type {UnitNeed} from './unit-need.js';
 
 /**
- * The time at which a model counts as last used. An unused model that is also loaded on other engines counts as used at time 0, and a
- * model without a copy on this engine as used last of all, so that other models are unloaded first.
+ * The time at which a model counts as last used. A model that has not been used yet counts as used at time 0 if it is also loaded on other
+ * engines, and a model without a copy on this engine counts as the most recently used one, so that other models are unloaded first.
  */
 const getLastUsedAt = (state: ResidencyState, engine: Holdings, name: string): number => {
 	const hasCopy = engine.copiesOnDisk.includes(name) || engine.copiesInMemory.includes(name);
