--- a/packages/residency/src/get-next-step.ts
+++ b/packages/residency/src/get-next-step.ts
@@ -34,9 +34,9 @@
 const newModelOrder = (kind: EngineOrder['kind'], model: string): LoadStep => ({kind: 'order', order: {kind, model, adapter: ''}});
 
 const getModelStep = (state: ResidencyState, capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
-	const loaded = new Set(engine.models.map(model => model.name));
+	const held = new Set(engine.models.map(model => model.name));
 	const queue = getLoadQueue({
-		held: loaded, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getWantedMs: model => getWantedMs(state, model),
+		held, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getWantedMs: model => getWantedMs(state, model),
 	});
 	const nextModel = queue.find(model => capacity.models.has(model));
 	if (nextModel === undefined) {
