--- /dev/null
+++ b/packages/residency/src/engine-copy-count.ts
@@ -0,0 +1,6 @@
+/** An engine and the number of its copies. */
+export type EngineCopyCount = {
+	readonly upstreamId: string;
+	/** The number of models of which the engine has a copy. */
+	readonly copies: number;
+};
--- a/packages/residency/src/get-expected-ms.ts
+++ b/packages/residency/src/get-expected-ms.ts
@@ -1,26 +1,26 @@
-import {getOwnLoadMs} from './get-own-load-ms.js';
+import {getLoadCostMs} from './get-load-cost-ms.js';
 import type {LoadSite} from './load-site.js';
 import type {LoadTimes} from './load-times.js';
 
-/** What a full engine adds to a load's expected time, relative to the load itself; loads slow down while many requests run. */
-const PRESSURE_SHARE = 1;
+/** The share of a load's duration that is added on an engine with all slots in use; loads are slower while many requests run. */
+const UTILIZATION_SLOWDOWN = 1;
 
 /**
- * How long a load waits on the average until one of the models in use falls idle, in milliseconds: about half of a stream
- * of the lengths that the users' sheets state.
+ * The average time until one of the models in use becomes idle and can be evicted, in milliseconds: about half the duration of a
+ * streamed response as given in the users' requirements.
  */
-const IN_USE_MS = 1500;
+const EVICTION_WAIT_MS = 1500;
 
-/** The expected time until an engine has a model loaded, in milliseconds. */
-export const getExpectedMs = (site: LoadSite, times: LoadTimes): number => {
-	if (site.isHeld) {
-		return site.busyMs;
+/** The expected time until a model is loaded on an engine, in milliseconds, including queued loads and eviction. */
+export const getExpectedMs = (candidate: LoadSite, times: LoadTimes): number => {
+	if (candidate.isHeld) {
+		return candidate.busyMs;
 	}
 
-	const placeMs = site.isInUse ? IN_USE_MS : 0;
-	if (site.remainingMs !== undefined) {
-		return site.remainingMs + (site.isStarted ? 0 : placeMs);
+	const evictionWaitMs = candidate.isInUse ? EVICTION_WAIT_MS : 0;
+	if (candidate.remainingMs !== undefined) {
+		return candidate.remainingMs + (candidate.isStarted ? 0 : evictionWaitMs);
 	}
 
-	return site.queueMs + placeMs + (getOwnLoadMs(site, times) * (1 + (site.pressure * PRESSURE_SHARE)));
+	return candidate.queueMs + evictionWaitMs + (getLoadCostMs(candidate, times) * (1 + (candidate.pressure * UTILIZATION_SLOWDOWN)));
 };
--- a/packages/residency/src/get-merged-needs.ts
+++ b/packages/residency/src/get-merged-needs.ts
@@ -2,7 +2,7 @@
 import {getUnitName} from './get-unit-name.js';
 import type {UnitNeed} from './unit-need.js';
 
-const getSum = (needs: readonly UnitNeed[]): UnitNeed => needs.length === 1
+const getMergedNeed = (needs: readonly UnitNeed[]): UnitNeed => needs.length === 1
 	? needs[0]
 	: {
 		...needs[0],
@@ -11,7 +11,7 @@
 		waits: getMergedWaits(needs.flatMap(need => need.waits)),
 	};
 
-/** Needs added up, one for each unit. */
+/** Sums the needs of all gateways into one need per unit. */
 export const getMergedNeeds = (needs: Iterable<UnitNeed>): UnitNeed[] => {
 	const units = new Map<string, UnitNeed[]>();
 	for (const need of needs) {
@@ -21,5 +21,5 @@
 		units.set(name, known);
 	}
 
-	return [...units.values()].map(parts => getSum(parts));
+	return [...units.values()].map(parts => getMergedNeed(parts));
 };
--- a/packages/residency/src/get-prefetch.ts
+++ b/packages/residency/src/get-prefetch.ts
@@ -1,15 +1,15 @@
 import {getHash} from './get-hash.js';
 import type {EngineCopies} from './engine-copies.js';
 
-const getAssigned = (model: string, engines: readonly EngineCopies[]): EngineCopies | undefined => {
+const getAssignedEngine = (model: string, engines: readonly EngineCopies[]): EngineCopies | undefined => {
 	const [first] = [...engines].sort((left, right) => getHash(`${model} ${right.upstreamId}`) - getHash(`${model} ${left.upstreamId}`));
 	return first;
 };
 
 /**
- * The model that an idle engine should fetch from the weight store, so that no model is left of which no engine keeps
- * a copy. Every engine works out the same list from the same announcements; the first `concurrentLoads` of it go to
- * one engine each, and the next ones follow as these appear in the announcements.
+ * The model that an idle engine should prefetch from the weight store, so that at least one engine has a copy of every model. All engines
+ * compute the same list of missing models from the same announcements. The first `concurrentLoads` models are assigned to one engine each;
+ * the next ones follow when the announcements show these copies. Undefined if no model is assigned to this engine.
  */
 export const getPrefetch = (upstreamId: string, models: readonly string[], engines: readonly EngineCopies[], concurrentLoads: number): string | undefined => {
 	const missing = models
@@ -18,7 +18,7 @@
 		.slice(0, concurrentLoads);
 	let free = [...engines];
 	for (const model of missing) {
-		const engine = getAssigned(model, free);
+		const engine = getAssignedEngine(model, free);
 		if (engine?.upstreamId === upstreamId) {
 			return model;
 		}
