--- a/apps/valelead-daemon/src/control/follower-sessions.ts
+++ b/apps/valelead-daemon/src/control/follower-sessions.ts
@@ -7,9 +7,9 @@
 import {
 	type FollowerReport, type HeldLease, type QuarantineList, type UpstreamLimits, HeldLeaseSchema, SessionUpdateSchema,
 } from '@valelead/protocol';
-import {DirectoryNews} from './directory-news.js';
-import {FirstShares} from './first-shares.js';
-import {GatewayCensus} from './gateway-census.js';
+import {DirectoryUpdates} from './directory-updates.js';
+import {InitialRetryShares} from './initial-retry-shares.js';
+import {GatewayRegistry} from './gateway-registry.js';
 import type {GatewayLeases} from './gateway-leases.js';
 import {QuarantineRollout} from './quarantine-rollout.js';
 import {SettleQueue} from './settle-queue.js';
@@ -78,7 +78,7 @@
 /** Sends routing and directory to the gateways and sidecars that follow this voter while it leads. */
 export class FollowerSessions {
 	readonly #voter: Voter;
-	readonly #news: DirectoryNews;
+	readonly #news: DirectoryUpdates;
 	readonly #leases: OrderLeases;
 	readonly #quarantine: QuarantineRegistry;
 	readonly #gatewayLeases: GatewayLeases;
@@ -89,8 +89,8 @@
 	readonly #rollout: SessionsParts['rollout'];
 	readonly #timers: TimerService;
 	readonly #clock: Clock;
-	readonly #census: GatewayCensus;
-	readonly #firstShares: FirstShares;
+	readonly #census: GatewayRegistry;
+	readonly #firstShares: InitialRetryShares;
 	readonly #sessions = new Map<FollowerSession['stream'], FollowerSession>();
 	readonly #settling: SettleQueue;
 	readonly #pushes: Coalescer;
@@ -107,8 +107,8 @@
 		this.#rollout = rollout;
 		this.#timers = timers;
 		this.#clock = clock;
-		this.#census = new GatewayCensus(clock);
-		this.#firstShares = new FirstShares({
+		this.#census = new GatewayRegistry(clock);
+		this.#firstShares = new InitialRetryShares({
 			clock,
 			getTerm: () => voter.node?.term ?? 0,
 			getFirstRoutingTerm() {
@@ -117,15 +117,15 @@
 			},
 			getGatewayCount: () => this.#census.count,
 		});
-		this.#news = new DirectoryNews({registry, timers});
+		this.#news = new DirectoryUpdates({registry, timers});
 		this.#quarantineRollout = new QuarantineRollout({
 			clock,
 			timers,
 			isLeading: () => this.#voter.node?.isCurrentLeader === true,
 			getVersion: () => quarantine.version,
 			getGateways: () => this.#gateways,
-			isUnaware: version => gatewayLeases.isUnaware(version),
-			onKnown: session => {
+			hasStaleGateway: version => gatewayLeases.hasStaleGateway(version),
+			onProgress: session => {
 				this.#send(session);
 			},
 		});
@@ -138,13 +138,13 @@
 	start(): void {
 		this.#news.start();
 		this.#timers.repeat(CHECK_MS, () => {
-			this.#census.forgetSilent();
+			this.#census.removeSilent();
 			this.#checkLeases();
 		});
 		this.#rollout.start(() => this.#voter.node?.isCurrentLeader ? [...this.#sessions.values()] : []);
 		this.#voter.machine.subscribe(() => {
 			this.#rollout.noteCommitted(this.#progress.routingVersion);
-			this.#firstShares.noteState();
+			this.#firstShares.refreshState();
 			this.pushSoon();
 		});
 	}
@@ -181,8 +181,8 @@
 		const end = (): void => {
 			this.#sessions.delete(stream);
 			this.#settling.resolve();
-			this.#gatewayLeases.forget(session);
-			this.#quarantineRollout.forget(session);
+			this.#gatewayLeases.noteSessionEnd(session);
+			this.#quarantineRollout.noteSessionEnd(session);
 			this.#checkLeases();
 		};
 
@@ -203,10 +203,10 @@
 	 */
 	tellHolder(upstream: Upstream): void {
 		const {epoch} = this.#news.progress;
-		const holder = this.#leases.getHolder(upstream.address);
+		const holder = this.#leases.getLeaseHolder(upstream.address);
 		for (const session of this.#sessions.values()) {
 			if (session.vm === holder && session.sent.epoch === epoch) {
-				const directory = this.#news.getSingleDelta(session.sent, upstream);
+				const directory = this.#news.getUpstreamDelta(session.sent, upstream);
 				session.stream.write(create(SessionUpdateSchema, {
 					sentAt: session.sentAt, isCurrent: true, directory, gatewayCount: this.#census.count, leases: this.#newLeases(session),
 				}));
@@ -245,7 +245,7 @@
 		session.heardAt = now;
 		session.sentAt = report.sentAt;
 		if (session.role === GATEWAY_ROLE) {
-			this.#census.note(session.vm);
+			this.#census.noteReport(session.vm);
 		}
 
 		this.#rollout.noteConfirmed(session.role, session.confirmed.routingVersion, report.routingVersion);
@@ -263,14 +263,14 @@
 			return;
 		}
 
-		this.#gatewayLeases.noteCount(report);
+		this.#gatewayLeases.noteGatewayCount(report);
 		if (session.role === GATEWAY_ROLE) {
-			this.#gatewayLeases.note(session);
-			this.#firstShares.note(session, report);
+			this.#gatewayLeases.noteReport(session);
+			this.#firstShares.noteReport(session, report);
 		}
 
 		this.#noteCrashes(session, report);
-		this.#quarantineRollout.note(session, report);
+		this.#quarantineRollout.noteReport(session, report);
 		const loans = this.#quotas.note(session.id, report.quotaUsages);
 		const sends = this.#limits.note(session.id, report);
 		if (loans !== undefined || sends !== undefined || now - session.repliedAt > REPLY_MS || this.#hasNews(session)) {
@@ -296,8 +296,8 @@
 	/** Leases run out without a word. */
 	#checkLeases(): void {
 		if (this.#voter.node?.isCurrentLeader) {
-			this.#quarantine.notePaused();
-			this.#quarantineRollout.settle();
+			this.#quarantine.refreshPaused();
+			this.#quarantineRollout.checkPending();
 		}
 	}
 
@@ -374,7 +374,7 @@
 		session.stream.write(create(SessionUpdateSchema, {
 			sentAt: session.sentAt,
 			isCurrent: true,
-			...(hasRouting && {routing, unspentShares: session.role === GATEWAY_ROLE ? this.#firstShares.take(session) : 0}),
+			...(hasRouting && {routing, unspentShares: session.role === GATEWAY_ROLE ? this.#firstShares.claimShare(session) : 0}),
 			directory: this.#news.getDelta(session.sent),
 			gatewayCount: this.#census.count,
 			voterAddresses: this.#voter.node!.voters.map(voter => voter.address),
--- a/apps/valelead-daemon/src/control/quarantine-registry.ts
+++ b/apps/valelead-daemon/src/control/quarantine-registry.ts
@@ -17,7 +17,7 @@
 	readonly timers: TimerService;
 	readonly logger: Logger;
 	/** Returns the number of crashes from which a request is paused while gateways are absent; undefined if no gateway is absent. */
-	readonly getPausedCrashes: () => number | undefined;
+	readonly getPauseThreshold: () => number | undefined;
 	/** Called when the list changes in a way that must be sent to gateways immediately. */
 	readonly onChange: () => void;
 };
@@ -128,7 +128,7 @@
 	}
 
 	/** Updates the paused requests after gateways have become absent or have returned. */
-	notePaused(): void {
+	refreshPaused(): void {
 		this.#checkTerm();
 		if (this.#updatePaused()) {
 			this.#publishChange();
@@ -211,7 +211,7 @@
 
 	/** Updates the requests that are held back while gateways are absent. Returns true if they changed. */
 	#updatePaused(): boolean {
-		const leastCrashes = this.#parts.getPausedCrashes();
+		const leastCrashes = this.#parts.getPauseThreshold();
 		const paused = leastCrashes === undefined ? [] : getPaused(this.#ledger, leastCrashes);
 		if (paused.join(',') === this.#paused.join(',')) {
 			return false;
--- a/apps/valelead-daemon/src/controller/start-controller.ts
+++ b/apps/valelead-daemon/src/controller/start-controller.ts
@@ -63,7 +63,7 @@
 		onChange() {
 			followers.pushSoon();
 		},
-		onHoldings(upstream) {
+		onEngineModels(upstream) {
 			followers.tellHolder(upstream);
 		},
 	});
@@ -73,7 +73,7 @@
 	const gatewayLeases = new GatewayLeases({clock: SYSTEM_CLOCK, getTerm: () => voter.node?.term ?? 0});
 	const quarantine = new QuarantineRegistry({
 		voter,
-		getPausedCrashes: () => gatewayLeases.pausedCrashes,
+		getPauseThreshold: () => gatewayLeases.pauseThreshold,
 		clock: SYSTEM_CLOCK,
 		timers,
 		logger,
--- a/apps/valelead-daemon/src/gateway/gateway.ts
+++ b/apps/valelead-daemon/src/gateway/gateway.ts
@@ -22,7 +22,7 @@
 import {newGatewayAdmission} from './new-gateway-admission.js';
 import {RequestDispatcher} from './request-dispatcher.js';
 import {RequestHandler} from './request-handler.js';
-import {RequestIntake} from './request-intake.js';
+import {RequestReceiver} from './request-receiver.js';
 import {RequestServer} from './request-server.js';
 import {ResidencyClients} from './residency-clients.js';
 import {startReadinessServer} from './start-readiness-server.js';
@@ -67,7 +67,7 @@
 	readonly #engineManagers: EngineKeepers;
 	readonly #residencyServer: GrpcServer;
 	readonly #confirmation: RoutingConfirmation;
-	readonly #intake: RequestIntake;
+	readonly #intake: RequestReceiver;
 	readonly #dispatcher: RequestDispatcher;
 	readonly #server: RequestServer;
 	#admin: Server | undefined;
@@ -108,7 +108,7 @@
 		}]);
 		this.#follower = this.#newFollower();
 		this.#confirmation = new RoutingConfirmation(SYSTEM_CLOCK, SYSTEM_SUSPENSIONS, settings.revokeMs);
-		this.#intake = new RequestIntake({
+		this.#intake = new RequestReceiver({
 			clock: SYSTEM_CLOCK,
 			suspensions: SYSTEM_SUSPENSIONS,
 			timers,
@@ -138,17 +138,17 @@
 			onCrash: () => {
 				this.#metrics.crashedUpstreams.inc();
 			},
-			onCrashNews: () => {
+			onCrashReportDue: () => {
 				this.#follower.reportSoon();
 			},
-			onLimitNews: () => {
+			onLimitReportDue: () => {
 				this.#follower.reportSoon();
 			},
 			onRetry: (service, isAllowed) => {
 				this.#metrics.retries.inc({service, result: isAllowed ? 'sent' : 'refused'});
 			},
-			onCut: request => {
-				this.#intake.noteCut(request);
+			onAborted: request => {
+				this.#intake.recordAborted(request);
 			},
 			onCancelled: ({isAnswered}) => {
 				this.#metrics.cancelledAttempts.inc({answered: String(isAnswered)});
@@ -165,7 +165,7 @@
 			onRequest: request => {
 				this.#intake.arrive(request);
 			},
-			onGone: request => {
+			onCallerDisconnected: request => {
 				this.#intake.abandon(request);
 			},
 			getTable: () => this.#follower.table,
@@ -235,7 +235,7 @@
 		const now = SYSTEM_CLOCK.now();
 		this.#grace ??= {startedAt: now, endsAt: now};
 		this.#intake.refuseAll(RESULT_CODE.Draining);
-		this.#dispatcher.cutAll(RESULT_CODE.Draining);
+		this.#dispatcher.abortAll(RESULT_CODE.Draining);
 	}
 
 	#newFollower(): RoutingFollower {
--- a/apps/valelead-daemon/src/gateway/request-quarantine.ts
+++ b/apps/valelead-daemon/src/gateway/request-quarantine.ts
@@ -38,7 +38,7 @@
 	/** Called when further requests have been quarantined. */
 	readonly onQuarantined: () => void;
 	/** Called when news of crashes must be reported to the leader immediately. */
-	readonly onCrashNews: () => void;
+	readonly onCrashReportDue: () => void;
 	/** Called when all gateways connected to the leader apply the decisions on crashes before `until`, in monotonic milliseconds. */
 	readonly onCrashesKnown: (until: number) => void;
 	/** Called when no gateway, connected or not, sends requests without knowing of the crashes before `until`, in monotonic milliseconds. */
@@ -258,7 +258,7 @@
 		}
 
 		if (served.length > 0) {
-			this.#parts.onCrashNews();
+			this.#parts.onCrashReportDue();
 		}
 	}
 
--- a/apps/valelead-daemon/src/gateway/upstream-limits.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-rate-limiter.ts
@@ -48,7 +48,7 @@
  * Enforces the rate limits that upstreams state in their responses. A limit applies to all gateways together: the leader distributes it to all of
  * them and lends each the number of requests that it may send. Without a loan, no request is sent to an upstream with a limit.
  */
-export class UpstreamLimits implements LimitExchange {
+export class UpstreamRateLimiter implements LimitExchange {
 	readonly #parts: LimitsParts;
 	readonly #known: RateLimitTable;
 	readonly #stock = newQuotaStock();
--- a/apps/valelead-daemon/tests/crash-simulation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -15,7 +15,7 @@
 import {SimulatedLink} from './simulated-link.js';
 import {SimulatedVoters} from './simulated-voters.js';
 import {
-	type GatewayRequest, CONNECTION_END, CrashGuard, FollowerSessions, GatewayLeases, QuarantineRegistry, StallWatch, encodeCrash,
+	type GatewayRequest, CONNECTION_STATE, CrashGuard, FollowerSessions, GatewayLeases, QuarantineRegistry, StallWatch, encodeCrash,
 } from 'valelead-daemon';
 
 type Gateway = {
@@ -122,7 +122,7 @@
 			this.#announceReplaced(upstream);
 			process.take(() => {
 				guard.noteEnd(request, upstream, {
-					code: RESULT_CODE.AnswerCut, outcome: OUTCOME.Unknown, reason: 'reset', connection: CONNECTION_END.Broken, phase: SUSPECT_PHASE.Begun,
+					code: RESULT_CODE.AnswerCut, outcome: OUTCOME.Unknown, reason: 'reset', connection: CONNECTION_STATE.Broken, phase: SUSPECT_PHASE.Begun,
 				}, isLast => {
 					if (isLast) {
 						answer();
@@ -158,7 +158,7 @@
 			clock,
 			timers,
 			logger: pino({level: 'silent'}),
-			getPausedCrashes: () => gatewayLeases.pausedCrashes,
+			getPauseThreshold: () => gatewayLeases.pauseThreshold,
 			onChange: () => {
 				this.#sessions?.[index].pushSoon();
 			},
@@ -222,7 +222,7 @@
 			getLeaderAgeMs: () => this.time.now - gateway.leaderHeardAt,
 			isPortRefused: async address => this.time.now < (this.#restartedAt.get(address) ?? 0),
 			onCrash: ignore,
-			onCrashNews() {
+			onCrashReportDue() {
 				timers.after(COALESCE_MS, () => {
 					gateway.send(false);
 				});
--- a/apps/valelead-daemon/tests/directory-updates.steps.ts
+++ b/apps/valelead-daemon/tests/directory-updates.steps.ts
@@ -123,12 +123,12 @@
 		onChange() {
 			world.sessions.pushSoon();
 		},
-		onHoldings(upstream) {
+		onEngineModels(upstream) {
 			world.sessions.tellHolder(upstream);
 		},
 	});
 	const leases = {
-		note: () => undefined, getGrants: () => [], getSidecarDelayMs: () => 0, getHolder: (address: string) => world.leaseHolders.get(address),
+		note: () => undefined, getGrants: () => [], getSidecarDelayMs: () => 0, getLeaseHolder: (address: string) => world.leaseHolders.get(address),
 	};
 	world.sessions = new FollowerSessions({
 		voter: voter as never, registry: world.registry, leases: leases as never, quarantine: NO_QUARANTINE, quotas: NO_QUOTAS, limits: NO_LIMITS, gatewayLeases: NO_GATEWAY_LEASES,
--- a/apps/valelead-daemon/tests/limited-upstreams.steps.ts
+++ b/apps/valelead-daemon/tests/limited-upstreams.steps.ts
@@ -8,16 +8,16 @@
 import {pino} from 'pino';
 import {VirtualTime} from '../../../tests/support/virtual-time.js';
 import {newVirtualTimers} from '../../../tests/support/new-virtual-timers.js';
-import {UpstreamLimits} from 'valelead-daemon';
+import {UpstreamRateLimiter} from 'valelead-daemon';
 
 type LimitsWorld = {
 	time: VirtualTime;
 	suspensions: {resumedAt: number; lostMs: number};
-	limits: UpstreamLimits;
+	limits: UpstreamRateLimiter;
 	/** Number of times that a report to the leader was due immediately. */
 	needs: number;
 	reportedAt: number;
-	told: ReturnType<UpstreamLimits['getReport']>['sightings'];
+	told: ReturnType<UpstreamRateLimiter['getReport']>['sightings'];
 	/** When the leader sent the limit, in milliseconds of the virtual time. */
 	namedAt: number;
 	book: LimitBook;
@@ -42,7 +42,7 @@
 	this.time = new VirtualTime();
 	this.suspensions = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 	this.needs = 0;
-	this.limits = new UpstreamLimits({
+	this.limits = new UpstreamRateLimiter({
 		clock: {now: () => this.time.now, wallNow: () => this.time.now},
 		suspensions: this.suspensions,
 		timers: newVirtualTimers(this.time),
--- a/apps/valelead-daemon/tests/upstream-attempt.steps.ts
+++ b/apps/valelead-daemon/tests/upstream-attempt.steps.ts
@@ -11,7 +11,7 @@
 import {sendAttempt} from './send-attempt.js';
 import {SilentUpstream} from './silent-upstream.js';
 import {
-	type GatewayRequest, AnswerPipe, UpstreamAgent, getForwardedHeaders, newGatewayAdmission,
+	type GatewayRequest, ResponseForwarder, UpstreamAgent, getForwardedHeaders, newGatewayAdmission,
 } from 'valelead-daemon';
 
 type AttemptWorld = {
@@ -214,7 +214,7 @@
 	this.passed = [];
 	const request = newStreamRequest(this.passed);
 	for (const text of [first, second]) {
-		const pipe = new AnswerPipe(request, {statusCode: 200, headers: {}, rawHeaders: []});
+		const pipe = new ResponseForwarder(request, {statusCode: 200, headers: {}, rawHeaders: []});
 		for (const byte of Buffer.from(unescape(text))) {
 			pipe.data(Buffer.from([byte]));
 		}
--- a/apps/valelead-lab/src/lab-quarantine.ts
+++ b/apps/valelead-lab/src/lab-quarantine.ts
@@ -42,7 +42,7 @@
 				},
 				propose: async proposal => this.#commit(proposal),
 			},
-			getPausedCrashes: () => undefined,
+			getPauseThreshold: () => undefined,
 			onChange: () => {
 				this.#push();
 			},
