--- a/packages/admission/src/get-best-lane.ts
+++ b/packages/admission/src/get-best-lane.ts
@@ -39,9 +39,9 @@
 };
 
 /**
- * Chooses the VM that receives the next request of a target: the one with the fewest requests in progress, as far as this entry knows, with penalties for remote,
- * unanswering and failing upstreams. An upstream that was ejected gets one request at a time until one succeeds. Returns undefined if no VM
- * can take a request now.
+ * Chooses the VM that receives the next request of a target: the one with the fewest requests in progress, as far as this entry knows, with
+ * penalties for remote, unanswering and failing upstreams. An upstream that was ejected gets one request at a time until one succeeds.
+ * Returns undefined if no VM can take a request now.
  */
 export const getBestLane = (state: AdmissionState, settings: AdmissionSettings, {target, sendsLeft}: LaneSearch, now: number): BestLane | undefined => {
 	let best: BestLane | undefined;
--- a/packages/admission/src/mutate-attempt-failure.ts
+++ b/packages/admission/src/mutate-attempt-failure.ts
@@ -24,7 +24,7 @@
 
 type RetryEffect = Extract<AdmissionEffect, {kind: 'retry'}>;
 
-/** Result codes that report a temporary state of the agent, such as draining. Attempts that end with them do not count as failures of its upstream. */
+/** Result codes that report a temporary state of the agent, such as draining. They do not count as failures of its upstream. */
 const NOT_ACCEPTING_CODES: ReadonlySet<ResultCodeValue> = new Set([
 	RESULT_CODE.CreditExpired,
 	RESULT_CODE.UnitNotReady,
