--- a/apps/valelead-daemon/src/gateway/active-attempts.ts
+++ b/apps/valelead-daemon/src/gateway/active-attempts.ts
@@ -1,5 +1,5 @@
 import type {Buffer} from 'node:buffer';
-import {getAnswerFraming} from '@valelead/answer';
+import {getResponseFraming} from '@valelead/answer';
 import {type Clock, OUTCOME, RESULT_CODE} from '@valelead/common';
 import type {Upstream} from '@valelead/discovery';
 import {ROUTE_KIND, isRepeatable} from '@valelead/routing';
@@ -139,7 +139,7 @@
 	#start(request: GatewayRequest, sending: Omit<AttemptTarget, 'remainingMs'>, answer: ResponseHead): boolean {
 		const status = answer.statusCode ?? 0;
 		this.#parts.onAnswer(sending.upstream.id);
-		request.answerFraming = getAnswerFraming({method: request.method, status, headers: answer.headers});
+		request.answerFraming = getResponseFraming({method: request.method, status, headers: answer.headers});
 		request.answerBytes = 0;
 		const isRetried = status >= HTTP_SERVER_ERROR && isRepeatable(request.route) && request.attempts < request.route.maxAttempts;
 		const isBroken = request.answer.isStarted && status !== HTTP_OK;
--- a/apps/valelead-daemon/src/gateway/engine-fleet.ts
+++ b/apps/valelead-daemon/src/gateway/engine-fleet.ts
@@ -131,7 +131,7 @@
 			const endpoint = this.#newEndpoint(view, gatewayCount, getOwnCount(view.upstream.id));
 			for (const {key, targets} of offers) {
 				const isSurplus = this.#surplus.get(key)?.ids.has(view.upstream.id) === true;
-				const chosen = isSurplus ? {...endpoint, othersInProgress: (endpoint.othersInProgress ?? 0) + SURPLUS_PENALTY} : endpoint;
+				const chosen = isSurplus ? {...endpoint, otherEntriesInProgress: (endpoint.otherEntriesInProgress ?? 0) + SURPLUS_PENALTY} : endpoint;
 				for (const target of targets) {
 					mutateList(endpoints, target, chosen);
 				}
@@ -185,8 +185,8 @@
 		return {
 			vm: upstream.id,
 			dataCentre: upstream.dataCentre,
-			places: Math.min(share, free),
-			othersInProgress: otherRequests,
+			concurrencyLimit: Math.min(share, free),
+			otherEntriesInProgress: otherRequests,
 		};
 	}
 }
--- a/apps/valelead-daemon/src/gateway/gateway-request.ts
+++ b/apps/valelead-daemon/src/gateway/gateway-request.ts
@@ -1,5 +1,5 @@
 import type {Buffer} from 'node:buffer';
-import type {AnswerFramingValue} from '@valelead/answer';
+import type {ResponseFramingValue} from '@valelead/answer';
 import type {Route} from '@valelead/routing';
 import type {CallerRequest} from '../adapter/caller-request.js';
 import type {ResponseWriter} from './response-writer.js';
@@ -40,6 +40,6 @@
 	lastChunkAt: number;
 	longestPauseMs: number;
 	/** How the end of the most recent upstream response is determined (e.g. by its length), and the bytes received of its body. */
-	answerFraming: AnswerFramingValue | undefined;
+	answerFraming: ResponseFramingValue | undefined;
 	answerBytes: number;
 };
--- a/apps/valelead-daemon/src/gateway/load-candidates.ts
+++ b/apps/valelead-daemon/src/gateway/load-candidates.ts
@@ -1,7 +1,7 @@
 import {
 	type LoadCandidate, type StoreFetch, type StoreConcurrencyLimit, getStoreFetchers, hasFewCopies, mutateStoreConcurrencyLimit, newStoreConcurrencyLimit,
 } from '@valelead/residency';
-import {type EngineLimits, type ModelShape, getModelShapes} from '@valelead/routing';
+import {type EngineLimits, type ModelProfile, getModelProfiles} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
 import {EngineDiscovery} from './engine-discovery.js';
 import {hasRoom} from './has-room.js';
@@ -52,9 +52,9 @@
 	}
 
 	/** Returns the memory sizes and load times of a model; undefined if the model is not configured. */
-	getShape({service, model}: Pick<PlacementRequest, 'service' | 'model'>): ModelShape | undefined {
+	getShape({service, model}: Pick<PlacementRequest, 'service' | 'model'>): ModelProfile | undefined {
 		const limits = this.#getLimits(service);
-		return limits && getModelShapes(limits).get(model);
+		return limits && getModelProfiles(limits).get(model);
 	}
 
 	/**
--- a/apps/valelead-daemon/src/gateway/request-dispatcher.ts
+++ b/apps/valelead-daemon/src/gateway/request-dispatcher.ts
@@ -178,7 +178,7 @@
 		this.#requests.set(request.id, request);
 		this.#take({
 			kind: 'arrive',
-			ticket: newAdmissionRequest(request),
+			request: newAdmissionRequest(request),
 			limits: LIMITS,
 		});
 		this.#demand.scheduleReport();
@@ -386,7 +386,7 @@
 		let count = 0;
 		for (const [target, queue] of this.#state.queues) {
 			const endpoint = this.#state.endpoints.get(target)?.find(({vm}) => vm === upstreamId);
-			const places = endpoint ? (endpoint.places ?? 0) - inProgress : 0;
+			const places = endpoint ? (endpoint.concurrencyLimit ?? 0) - inProgress : 0;
 			count += Math.min(queue.length, Math.max(0, places));
 		}
 
--- a/apps/valelead-daemon/src/gateway/request-handler.ts
+++ b/apps/valelead-daemon/src/gateway/request-handler.ts
@@ -3,7 +3,7 @@
 	type Clock, OUTCOME, RESULT_CODE, RESULT_DETAILS, type ResultCodeValue, ValeleadError,
 } from '@valelead/common';
 import {
-	type Route, type RouteTable, getRoute, getService,
+	type Route, type RouteTable, getRoute, getServiceByWeight,
 } from '@valelead/routing';
 import type {Logger} from 'pino';
 import type {CallerCodec} from '../adapter/caller-codec.js';
@@ -85,7 +85,7 @@
 
 		const caller = this.#getCaller(table, route, head);
 		const body = await readBody(message, table.routing.limits.maxBodyBytes);
-		const service = getService(route, Math.random());
+		const service = getServiceByWeight(route, Math.random());
 		const id = String(this.#nextId);
 		this.#nextId += 1;
 		return newGatewayRequest({
--- a/apps/valelead-daemon/src/gateway/response-forwarder.ts
+++ b/apps/valelead-daemon/src/gateway/response-forwarder.ts
@@ -36,7 +36,7 @@
 			return;
 		}
 
-		const {bytes, lastEventId} = this.#splitter.take(chunk);
+		const {bytes, lastEventId} = this.#splitter.addChunk(chunk);
 		this.#request.lastEventId = lastEventId ?? this.#request.lastEventId;
 		if (bytes.length > 0) {
 			this.#write(bytes);
--- a/apps/valelead-daemon/src/gateway/upstream-attempt.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-attempt.ts
@@ -2,7 +2,7 @@
 import {
 	type ClientRequest, type IncomingMessage, request as newHttpRequest,
 } from 'node:http';
-import {ANSWER_DEFECT, ReceivedAnswer} from '@valelead/answer';
+import {RESPONSE_DEFECT, ReceivedResponse} from '@valelead/answer';
 import {
 	abortRequest, OUTCOME, RESULT_CODE, type ResultCodeValue,
 } from '@valelead/common';
@@ -151,9 +151,9 @@
 	}
 
 	#pass(answer: IncomingMessage): void {
-		const received = new ReceivedAnswer(answer, this.#parts.method);
+		const received = new ReceivedResponse(answer, this.#parts.method);
 		answer.on('data', (chunk: Buffer) => {
-			received.take(chunk);
+			received.addChunk(chunk);
 			this.#hasBody = true;
 			if (!this.#isOver) {
 				this.#parts.events.onData(chunk);
@@ -164,14 +164,14 @@
 			if (defect === undefined) {
 				this.#end(this.#parts.events.onEnd);
 			} else {
-				this.fail(RESULT_CODE.AnswerCut, defect, received.isConnectionOver ? CONNECTION_STATE.Broken : CONNECTION_STATE.Intact);
+				this.fail(RESULT_CODE.AnswerCut, defect, received.isConnectionEnded ? CONNECTION_STATE.Broken : CONNECTION_STATE.Intact);
 			}
 		});
 		answer.on('error', error => {
 			this.fail(RESULT_CODE.AnswerCut, error.message, getConnectionState(error));
 		});
 		answer.on('close', () => {
-			this.fail(RESULT_CODE.AnswerCut, ANSWER_DEFECT.Incomplete, CONNECTION_STATE.Broken);
+			this.fail(RESULT_CODE.AnswerCut, RESPONSE_DEFECT.Incomplete, CONNECTION_STATE.Broken);
 		});
 	}
 
--- a/apps/valelead-daemon/tests/retry-model.ts
+++ b/apps/valelead-daemon/tests/retry-model.ts
@@ -59,7 +59,7 @@
 const TARGET = 'service/s';
 
 /** There are enough upstreams for a request to always find one that it has not tried. */
-const UPSTREAMS = Array.from({length: 12}, (_, index) => ({vm: `u${index}`, dataCentre: 'd', places: 1000}));
+const UPSTREAMS = Array.from({length: 12}, (_, index) => ({vm: `u${index}`, dataCentre: 'd', concurrencyLimit: 1000}));
 const NO_SUSPENSIONS = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 
 /** A model of gateways that send requests, some of which fail, to one service. It uses the real retry budget and the real counting of gateways. */
@@ -281,7 +281,7 @@
 		this.#nextId += 1;
 		this.ticks.at(-1)!.requests += 1;
 		this.#take(gateway, newPlainArrival({
-			requestId: String(this.#nextId), target: TARGET, arrivedAt: this.#now, deadlineAt: this.#now + 1000, budget: 's',
+			requestId: String(this.#nextId), target: TARGET, arrivedAt: this.#now, deadlineAt: this.#now + 1000, retryBudget: 's',
 		}), isFailing);
 	}
 
--- a/apps/valelead-daemon/tests/upstream-attempt.steps.ts
+++ b/apps/valelead-daemon/tests/upstream-attempt.steps.ts
@@ -202,7 +202,7 @@
 	const splitter = new EventSplitter();
 	this.passed = [];
 	for (const piece of unescape(pieces).split('|')) {
-		const {bytes, lastEventId} = splitter.take(Buffer.from(piece));
+		const {bytes, lastEventId} = splitter.addChunk(Buffer.from(piece));
 		this.lastEventId = lastEventId ?? this.lastEventId;
 		if (bytes.length > 0) {
 			this.passed.push(bytes.toString());
@@ -246,5 +246,5 @@
 
 Then('together they start with less than {int} retries and earn less than {float} for a request', function (this: AttemptWorld, reserve: number, ratio: number) {
 	assert.ok(this.admissions.reduce((sum, admission) => sum + (admission.initialRetryTokens ?? 0), 0) < reserve);
-	assert.ok(this.admissions.every(admission => admission.retryShare < ratio));
+	assert.ok(this.admissions.every(admission => admission.retryTokensPerRequest < ratio));
 });
