--- a/packages/placement/src/decide-placement.ts
+++ b/packages/placement/src/decide-placement.ts
@@ -1,9 +1,9 @@
-import {getKeepCosts} from './get-keep-costs.js';
-import {getKeepMs} from './get-keep-ms.js';
+import {getKeepLoadedCosts} from './get-keep-loaded-costs.js';
+import {getKeepLoadedMs} from './get-keep-loaded-ms.js';
 import {getLoadMs} from './get-load-ms.js';
-import {getUrgency} from './get-urgency.js';
-import {hasHope} from './has-hope.js';
-import {isReturnLikely} from './is-return-likely.js';
+import {getLoadPriority} from './get-load-priority.js';
+import {canLoadInTime} from './can-load-in-time.js';
+import {isReuseLikely} from './is-reuse-likely.js';
 import {mutateArrivals} from './mutate-arrivals.js';
 import {mutateLoads} from './mutate-loads.js';
 import {mutateStartTokens} from './mutate-start-tokens.js';
@@ -16,13 +16,13 @@
 import type {PlacementVm} from './placement-vm.js';
 import type {PolicySettings} from './policy-settings.js';
 
-/** Requests in waiting for each place of the ready replicas at which one more replica is granted. */
+/** The ratio of a unit's waiting requests to the capacity of the VMs with its replicas at which one more replica is granted. */
 const SCALE_OUT_RATIO = 2;
 
-/** A return is looked for over a window of this many load times. */
-const RETURN_WINDOW_LOADS = 2;
+/** The window in which a reuse of a unit is predicted, in load times of the unit. */
+const REUSE_WINDOW_LOADS = 2;
 
-/** Decides which replicas the view lacks and which it should give up. */
+/** Decides in one round which replicas are granted and which are revoked. */
 class Decider {
 	readonly #state: PlacementState;
 	readonly #settings: PolicySettings;
@@ -39,39 +39,39 @@
 	}
 
 	decide(): PlacementDecision[] {
-		this.#revokeUnwanted();
-		const wanted = this.#getWanted();
-		for (const unit of wanted) {
+		this.#revokeObsolete();
+		const unitsToLoad = this.#getUnitsToLoad();
+		for (const unit of unitsToLoad) {
 			this.#round.place(unit, true, false);
 		}
 
 		this.#placeMinimum();
 		this.#revokeIdle();
-		if (wanted.length === 0) {
+		if (unitsToLoad.length === 0) {
 			this.#prewarm();
 		}
 
 		return this.#round.decisions;
 	}
 
-	/** Gives up replicas of units that are stopped or no longer declared, and of VMs that are drained. */
-	#revokeUnwanted(): void {
+	/** Revokes replicas of units that are stopped, no longer declared or above their replica limit, and all replicas on drained VMs. */
+	#revokeObsolete(): void {
 		for (const replica of this.#getReplicas()) {
 			const unit = this.#view.units.get(replica.unit);
 			const vm = this.#view.vms.find(candidate => candidate.name === replica.vm);
-			const isUnwanted = !unit || unit.isStopped || unit.freeReplicas < 0;
-			if (!replica.isRevoking && (isUnwanted || vm?.isDrained)) {
+			const isObsolete = !unit || unit.isStopped || unit.freeReplicas < 0;
+			if (!replica.isRevoking && (isObsolete || vm?.isDrained)) {
 				this.#round.revoke(replica);
 			}
 		}
 	}
 
-	#getWanted(): PlacementUnit[] {
-		const wanted = [...this.#view.units.values()].filter(unit => this.#isWanted(unit));
-		return wanted.sort((left, right) => getUrgency(this.#state, right) - getUrgency(this.#state, left));
+	#getUnitsToLoad(): PlacementUnit[] {
+		const unitsToLoad = [...this.#view.units.values()].filter(unit => this.#needsReplica(unit));
+		return unitsToLoad.sort((left, right) => getLoadPriority(this.#state, right) - getLoadPriority(this.#state, left));
 	}
 
-	#isWanted(unit: PlacementUnit): boolean {
+	#needsReplica(unit: PlacementUnit): boolean {
 		if (unit.waiting === 0 || unit.isStopped || unit.freeReplicas <= 0 || this.#round.hasLoad(unit.key)) {
 			return false;
 		}
@@ -81,7 +81,7 @@
 			return false;
 		}
 
-		return this.#view.vms.some(vm => vm.isOpen && hasHope(this.#state, unit, vm));
+		return this.#view.vms.some(vm => vm.isOpen && canLoadInTime(this.#state, unit, vm));
 	}
 
 	#getCapacity(replicas: readonly PlacementReplica[]): number {
@@ -120,10 +120,10 @@
 			return false;
 		}
 
-		const costs = getKeepCosts(this.#state, this.#settings, unit, vm);
+		const costs = getKeepLoadedCosts(this.#state, this.#settings, unit, vm);
 		const history = this.#state.histories.get(unit.key);
-		const isLikely = history !== undefined && isReturnLikely(history, costs, this.#getWindowMs(unit), this.#now);
-		return replica.idleMs > getKeepMs(history, costs) && !isLikely;
+		const isLikely = history !== undefined && isReuseLikely(history, costs, this.#getWindowMs(unit), this.#now);
+		return replica.idleMs > getKeepLoadedMs(history, costs) && !isLikely;
 	}
 
 	#prewarm(): void {
@@ -138,15 +138,15 @@
 				continue;
 			}
 
-			const costs = getKeepCosts(this.#state, this.#settings, unit, vm);
-			if (isReturnLikely(history, costs, this.#getWindowMs(unit), this.#now)) {
+			const costs = getKeepLoadedCosts(this.#state, this.#settings, unit, vm);
+			if (isReuseLikely(history, costs, this.#getWindowMs(unit), this.#now)) {
 				history.wasPrewarmed = this.#round.place(unit, false, true);
 			}
 		}
 	}
 
 	#getWindowMs(unit: PlacementUnit): number {
-		return getLoadMs(this.#state, unit) * RETURN_WINDOW_LOADS;
+		return getLoadMs(this.#state, unit) * REUSE_WINDOW_LOADS;
 	}
 
 	#getReplicas(): PlacementReplica[] {
@@ -155,8 +155,9 @@
 }
 
 /**
- * One round of placement at a monotonic time in milliseconds. Decisions are proposals: the replicated
- * state refuses those that exceed a limit, and the next round decides anew.
+ * Runs one round of placement and returns its decisions. Decisions are proposals: the replicated state rejects those that exceed a limit,
+ * and the next round decides again.
+ * @param now - Monotonic time in milliseconds.
  */
 export const decidePlacement = (state: PlacementState, settings: PolicySettings, view: PlacementView, now: number): PlacementDecision[] => {
 	mutateStartTokens(state, settings, now);
--- a/packages/placement/src/mutate-load-end.ts
+++ b/packages/placement/src/mutate-load-end.ts
@@ -2,10 +2,10 @@
 
 const BYTES_PER_GIB = 2 ** 30;
 
-/** Weight of the newest load in the measured speed. */
-const SPEED_SHARE = 0.3;
+/** The weight of the newest load in the exponential moving average of the load speed. */
+const SMOOTHING_FACTOR = 0.3;
 
-/** Notes that a load ended and how fast it was; a load that failed only ends. */
+/** Removes a load that has ended and, if it succeeded, updates the measured load speed of its source. */
 export const mutateLoadEnd = (state: PlacementState, loadKey: string, memoryBytes: number, isReady: boolean, now: number): void => {
 	const load = state.loads.get(loadKey);
 	state.loads.delete(loadKey);
@@ -14,9 +14,9 @@
 	}
 
 	const msPerGib = (now - load.startedAt) * BYTES_PER_GIB / memoryBytes;
-	if (load.isRemote) {
-		state.remoteMsPerGib += (msPerGib - state.remoteMsPerGib) * SPEED_SHARE;
+	if (load.isFromStore) {
+		state.storeMsPerGib += (msPerGib - state.storeMsPerGib) * SMOOTHING_FACTOR;
 	} else {
-		state.diskMsPerGib += (msPerGib - state.diskMsPerGib) * SPEED_SHARE;
+		state.diskMsPerGib += (msPerGib - state.diskMsPerGib) * SMOOTHING_FACTOR;
 	}
 };
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -15,10 +15,10 @@
 	readonly cost: number;
 };
 
-/** Cost of a full VM relative to an empty one, in milliseconds of waiting. */
-const BUSY_VM_MS = 500;
+/** The penalty for placing a unit on a VM at its full capacity instead of an idle VM, in milliseconds of waiting. */
+const FULL_VM_PENALTY_MS = 500;
 
-/** One round of decisions over a copy of the view, so that later decisions see earlier ones. */
+/** Collects the decisions of one round and applies them to a copy of the view, so that later decisions take earlier ones into account. */
 export class PlacementRound {
 	readonly decisions: PlacementDecision[] = [];
 	readonly #state: PlacementState;
@@ -40,7 +40,7 @@
 		return this.#vms.values();
 	}
 
-	/** Replicas of a unit that are not being given up. */
+	/** Returns the replicas of a unit that are not being revoked. */
 	getReplicas(unit: string): PlacementReplica[] {
 		const replicas: PlacementReplica[] = [];
 		for (const vm of this.#vms.values()) {
@@ -50,7 +50,7 @@
 		return replicas;
 	}
 
-	/** Whether a load of the unit is under way. */
+	/** Returns true if a load of the unit is in progress. */
 	hasLoad(unit: string): boolean {
 		const isGranted = this.getReplicas(unit).some(replica => !replica.isReady);
 		return isGranted || [...this.#state.loads.values()].some(load => load.unit === unit);
@@ -63,7 +63,7 @@
 		this.decisions.push({kind: 'revoke', grantId: replica.grantId});
 	}
 
-	/** Grants the unit to the best VM, or begins to make room for it. Returns whether a VM was found. */
+	/** Grants the unit on the VM with the lowest cost, or revokes replicas there to free memory for it. Returns true if a VM was found. */
 	place(unit: PlacementUnit, canEvict: boolean, isPrewarm: boolean): boolean {
 		const choice = this.#choose(unit, canEvict);
 		if (!choice) {
@@ -102,7 +102,7 @@
 			return undefined;
 		}
 
-		const busyMs = BUSY_VM_MS * vm.inProgress / Math.max(1, vm.capacity);
+		const busyMs = FULL_VM_PENALTY_MS * vm.inProgress / Math.max(1, vm.capacity);
 		const waitMs = getLoadMs(this.#state, unit, vm) + busyMs;
 		const weight = Math.max(1, unit.waitingWeight) * this.#settings.coldStartWeight;
 		return {vm, evicted: evictions.replicas, cost: (waitMs * weight) + evictions.cost};
@@ -115,8 +115,8 @@
 			return;
 		}
 
-		const isRemote = !vm.cached.has(unit.key);
-		if (isRemote && !this.#takeStart()) {
+		const isFromStore = !vm.cached.has(unit.key);
+		if (isFromStore && !this.#takeStartToken()) {
 			return;
 		}
 
@@ -126,14 +126,14 @@
 		};
 		this.#vms.set(vm.name, {...vm, replicas: [...vm.replicas, replica]});
 		this.#state.loads.set(getLoadKey(unit.key, vm.name), {
-			unit: unit.key, vm: vm.name, startedAt: this.#now, isRemote, isPrewarm,
+			unit: unit.key, vm: vm.name, startedAt: this.#now, isFromStore, isPrewarm,
 		});
 		this.decisions.push({kind: 'grant', unit: unit.key, vm: vm.name});
 	}
 
-	/** Takes a start from the budget of the weight store, if one is left. */
-	#takeStart(): boolean {
-		const running = [...this.#state.loads.values()].filter(load => load.isRemote).length;
+	/** Takes a token for a load from the weight store. Returns false if its concurrency or rate limit is reached. */
+	#takeStartToken(): boolean {
+		const running = [...this.#state.loads.values()].filter(load => load.isFromStore).length;
 		if (running >= this.#settings.concurrentLoads || this.#state.startTokens < 1) {
 			return false;
 		}
--- a/packages/residency/src/get-next-step.ts
+++ b/packages/residency/src/get-next-step.ts
@@ -1,9 +1,9 @@
 import {getAdapterOrder} from './get-adapter-order.js';
-import {getIdleModel} from './get-idle-model.js';
+import {getModelToUnload} from './get-model-to-unload.js';
 import {getWantedMs} from './get-wanted-ms.js';
 import {getUsedMemory} from './get-used-memory.js';
 import {getLoadMs} from './get-load-ms.js';
-import {getAging} from './get-aging.js';
+import {getAgingFactor} from './get-aging-factor.js';
 import {getCopyLoadRate} from './get-copy-load-rate.js';
 import {getLoadQueue} from './get-load-queue.js';
 import {getLoadValue} from './get-load-value.js';
@@ -19,53 +19,54 @@
 import type {UnitNeed} from './unit-need.js';
 
 /**
- * Whether a load from the weight store would keep the engine from loads of copies that have lately counted more in the same
- * time: one load takes the time of about nine swaps. Requests that wait longer make it count more, so that it comes in the
- * end. Begun in each pause of the queue instead, there are 19 of them in place of 16 in the laboratory's mixed-losses.
+ * True if a load from the weight store is worth less than the loads from copies that the engine would complete in the same time, judged
+ * by its recent rate: one such load takes as long as about nine swaps. Its value grows with the waiting time, so it runs eventually.
+ * If such loads began in every pause of the queue, there would be 19 of them instead of 16 in the simulated pattern mixed-losses.
  */
-const isDisplacing = (state: ResidencyState, capacity: Capacity, holdings: Holdings, model: string, needs: readonly UnitNeed[], now: number): boolean => {
-	const loadMs = getLoadMs(capacity, holdings, model);
-	const value = getLoadValue(getWaits(needs, model), loadMs) * getAging(getWantedMs(state, model));
-	return isStoreLoad(capacity, holdings, model) && value > 0 && value < getCopyLoadRate(state, now) * loadMs;
+const isDisplacingCopyLoads = (state: ResidencyState, capacity: Capacity, engine: Holdings, model: string, needs: readonly UnitNeed[], now: number): boolean => {
+	const loadMs = getLoadMs(capacity, engine, model);
+	const value = getLoadValue(getWaits(needs, model), loadMs) * getAgingFactor(getWantedMs(state, model));
+	return isStoreLoad(capacity, engine, model) && value > 0 && value < getCopyLoadRate(state, now) * loadMs;
 };
 
-const REST: LoadStep = {kind: 'rest'};
+const NO_STEP: LoadStep = {kind: 'rest'};
 
 const newModelOrder = (kind: EngineOrder['kind'], model: string): LoadStep => ({kind: 'order', order: {kind, model, adapter: ''}});
 
-const getModelStep = (state: ResidencyState, capacity: Capacity, holdings: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
-	const held = new Set(holdings.models.map(model => model.name));
+const getModelStep = (state: ResidencyState, capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
+	const held = new Set(engine.models.map(model => model.name));
 	const queue = getLoadQueue({
-		held, needs, getLoadMs: model => getLoadMs(capacity, holdings, model), getWantedMs: model => getWantedMs(state, model),
+		held, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getWantedMs: model => getWantedMs(state, model),
 	});
-	const wanted = queue.find(model => capacity.models.has(model));
-	if (wanted === undefined) {
-		return REST;
+	const nextModel = queue.find(model => capacity.models.has(model));
+	if (nextModel === undefined) {
+		return NO_STEP;
 	}
 
-	if (isDisplacing(state, capacity, holdings, wanted, needs, now)) {
-		return {kind: 'delay', load: {model: wanted, reason: LOAD_DELAY.CopiesFirst}};
+	if (isDisplacingCopyLoads(state, capacity, engine, nextModel, needs, now)) {
+		return {kind: 'delay', load: {model: nextModel, reason: LOAD_DELAY.CopiesFirst}};
 	}
 
-	const {weightMemory} = capacity.models.get(wanted)!;
-	if (getUsedMemory(capacity, holdings) + weightMemory <= capacity.weightMemory) {
-		return newModelOrder(ORDER_KIND.Load, wanted);
+	const {weightMemory} = capacity.models.get(nextModel)!;
+	if (getUsedMemory(capacity, engine) + weightMemory <= capacity.weightMemory) {
+		return newModelOrder(ORDER_KIND.Load, nextModel);
 	}
 
-	const idle = getIdleModel(state, holdings, needs);
-	return idle === undefined ? {kind: 'delay', load: {model: wanted, reason: LOAD_DELAY.NoIdleModel}} : newModelOrder(ORDER_KIND.Unload, idle);
+	const idle = getModelToUnload(state, engine, needs);
+	return idle === undefined ? {kind: 'delay', load: {model: nextModel, reason: LOAD_DELAY.NoIdleModel}} : newModelOrder(ORDER_KIND.Unload, idle);
 };
 
 /**
- * What serves waiting requests next: an order, a load that has to wait, or nothing where no request waits or the engine is busy.
- * Adapters come first, as they load within milliseconds. An engine refuses any order while it loads a model.
- * @param now - Monotonic milliseconds.
+ * Decides what an engine does next for waiting requests: carry out an order, delay a load, or rest if no request waits or the engine is
+ * busy. Adapters are loaded before models because they take only milliseconds. A busy engine gets no order, because an engine refuses
+ * every order while it loads a model.
+ * @param now - Monotonic time in milliseconds.
  */
-export const getNextStep = (state: ResidencyState, capacity: Capacity, holdings: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
-	if (holdings.isBusy) {
-		return REST;
+export const getNextStep = (state: ResidencyState, capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
+	if (engine.isBusy) {
+		return NO_STEP;
 	}
 
-	const order = getAdapterOrder(state, capacity, holdings, needs);
-	return order ? {kind: 'order', order} : getModelStep(state, capacity, holdings, needs, now);
+	const order = getAdapterOrder(state, capacity, engine, needs);
+	return order ? {kind: 'order', order} : getModelStep(state, capacity, engine, needs, now);
 };
--- a/packages/residency/src/new-store-limit.ts
+++ b/packages/residency/src/new-store-limit.ts
@@ -1,6 +1,7 @@
 import type {StoreLimit} from './store-limit.js';
 
-/** Fetches at once before any was seen to end. */
-const FIRST_AT_ONCE = 4;
+/** The number of concurrent fetches that are allowed before any fetch has ended. */
+const INITIAL_MAX_FETCHES = 4;
 
-export const newStoreLimit = (): StoreLimit => ({atOnce: FIRST_AT_ONCE, fetches: new Map()});
+/** Creates the initial estimate for a weight store of which no fetch has been observed yet. */
+export const newStoreLimit = (): StoreLimit => ({atOnce: INITIAL_MAX_FETCHES, fetches: new Map()});
