--- a/apps/valelead-daemon/src/control/settle-queue.ts
+++ b/apps/valelead-daemon/src/control/confirmation-queue.ts
@@ -21,7 +21,7 @@
 const SETTLE_MS = 300;
 
 /** Those who wait until all followers that are heard hold something. */
-export class SettleQueue {
+export class ConfirmationQueue {
 	readonly #parts: QueueParts;
 	readonly #waiters = new Set<Waiter>();
 
--- a/apps/valelead-daemon/src/control/sessions.ts
+++ b/apps/valelead-daemon/src/control/control-sessions.ts
@@ -41,7 +41,7 @@
 const REFRESH_MS = 200;
 
 /** Sessions with entries and agents: takes their heartbeats and sends them what changed. */
-export class Sessions {
+export class ControlSessions {
 	readonly #voter: Voter;
 	readonly #leader: Leader;
 	readonly #watch: LeaderWatch;
@@ -123,13 +123,13 @@
 		}
 
 		session.revision = report.value.revision;
-		this.#leader.takeEntryReport(report.value, SYSTEM_CLOCK.now());
+		this.#leader.handleEntryReport(report.value, SYSTEM_CLOCK.now());
 		this.#sendTo(session);
 	}
 
 	#takeAgentReport(session: Session, report: AgentReport): void {
 		session.report = report;
-		const isHolder = this.#leader.takeVmReport(report, SYSTEM_CLOCK.now());
+		const isHolder = this.#leader.handleVmReport(report, SYSTEM_CLOCK.now());
 		if (!isHolder) {
 			session.stream.end();
 			return;
--- a/apps/valelead-daemon/src/control/controller-peers.ts
+++ b/apps/valelead-daemon/src/control/controller-peers.ts
@@ -90,7 +90,7 @@
 	}
 
 	/** Tells controllers of the settings that are no voters where this one is: processes that start later may be told of them only. */
-	async tellOthers(voterAddresses: readonly string[]): Promise<void> {
+	async announceToStandbys(voterAddresses: readonly string[]): Promise<void> {
 		this.#noteNamed(await this.#identify(this.#configured.filter(address => !voterAddresses.includes(address))));
 	}
 
--- a/apps/valelead-daemon/src/control/follower-session.ts
+++ b/apps/valelead-daemon/src/control/follower-session.ts
@@ -10,7 +10,7 @@
 	readonly vm: string;
 	readonly role: string;
 	/** The engines whose sidecars the follower has named. */
-	readonly attended: Set<string>;
+	readonly attendedEngines: Set<string>;
 	heardAt: number;
 	/** The follower's own time in its last report. */
 	sentAt: number;
@@ -32,5 +32,5 @@
 	/** What its last report says. */
 	confirmed: Progress;
 	/** Reports of crashes that came while this voter did not lead. */
-	readonly held: FollowerReport[];
+	readonly unprocessedReports: FollowerReport[];
 };
--- a/apps/valelead-daemon/src/control/follower-sessions.ts
+++ b/apps/valelead-daemon/src/control/follower-sessions.ts
@@ -12,7 +12,7 @@
 import {GatewayCensus} from './gateway-census.js';
 import type {GatewayLeases} from './gateway-leases.js';
 import {QuarantineRollout} from './quarantine-rollout.js';
-import {SettleQueue} from './settle-queue.js';
+import {ConfirmationQueue} from './confirmation-queue.js';
 import {getProgress} from './get-progress.js';
 import {isBehind} from './is-behind.js';
 import type {FollowerSession} from './follower-session.js';
@@ -92,7 +92,7 @@
 	readonly #census: GatewayCensus;
 	readonly #firstShares: FirstShares;
 	readonly #sessions = new Map<FollowerSession['stream'], FollowerSession>();
-	readonly #settling: SettleQueue;
+	readonly #settling: ConfirmationQueue;
 	readonly #pushes: Coalescer;
 	#nextSession = 1;
 
@@ -129,7 +129,7 @@
 				this.#send(session);
 			},
 		});
-		this.#settling = new SettleQueue({timers, clock, getSessions: () => this.#sessions.values()});
+		this.#settling = new ConfirmationQueue({timers, clock, getSessions: () => this.#sessions.values()});
 		this.#pushes = new Coalescer(timers, COALESCE_MS, () => {
 			this.#push();
 		});
@@ -162,7 +162,7 @@
 			stream,
 			vm: report.vm,
 			role: report.role,
-			attended: new Set(),
+			attendedEngines: new Set(),
 			heardAt: 0,
 			sentAt: 0,
 			repliedAt: Number.NEGATIVE_INFINITY,
@@ -174,7 +174,7 @@
 			crashesObeyedUntil: 0,
 			limitsVersion: 0,
 			confirmed: getProgress(report),
-			held: [],
+			unprocessedReports: [],
 		};
 		this.#nextSession += 1;
 		this.#sessions.set(stream, session);
@@ -252,10 +252,10 @@
 		session.confirmed = getProgress(report);
 		session.quarantineConfirmed = report.quarantineVersion;
 		for (const address of report.attendedEngines) {
-			session.attended.add(address);
+			session.attendedEngines.add(address);
 		}
 
-		this.#leases.note(report, session.attended);
+		this.#leases.note(report, session.attendedEngines);
 		this.#settling.resolve();
 		if (!this.#voter.node?.isCurrentLeader) {
 			this.#hold(session, report);
@@ -282,14 +282,14 @@
 
 	/** A follower tells all the crashes that it holds with its first report only, and this voter may come to lead while the session lasts. */
 	#hold(session: FollowerSession, report: FollowerReport): void {
-		if (report.crashes.length > 0 && session.held.length < MAX_HELD_REPORTS) {
-			session.held.push(report);
+		if (report.crashes.length > 0 && session.unprocessedReports.length < MAX_HELD_REPORTS) {
+			session.unprocessedReports.push(report);
 		}
 	}
 
 	#noteCrashes(session: FollowerSession, report: FollowerReport): void {
 		const {vm, crashes, served} = report;
-		const held = session.held.splice(0).flatMap(other => other.crashes);
+		const held = session.unprocessedReports.splice(0).flatMap(other => other.crashes);
 		this.#quarantine.note({vm, crashes: [...held, ...crashes], served});
 	}
 
@@ -388,7 +388,7 @@
 			crashesObeyedUntil: session.crashesObeyedUntil,
 			isCrashLeaseGranted: this.#gatewayLeases.isGranted(session),
 			...(session.role === SIDECAR_ROLE && {
-				ordersFromMs: this.#leases.getSidecarDelayMs([...session.attended]), holdersKnownInMs: this.#leases.holdersKnownMs,
+				ordersFromMs: this.#leases.getSidecarDelayMs([...session.attendedEngines]), holdersKnownInMs: this.#leases.holdersKnownMs,
 			}),
 		}));
 		session.repliedAt = this.#clock.now();
--- a/apps/valelead-daemon/src/control/leader.ts
+++ b/apps/valelead-daemon/src/control/leader.ts
@@ -62,7 +62,7 @@
 	}
 
 	/** Takes an entry's heartbeat. */
-	takeEntryReport(report: EntryReport, now: number): void {
+	handleEntryReport(report: EntryReport, now: number): void {
 		this.#checkTerm(now);
 		this.#fleet.entries.set(report.vm, {report, receivedAt: now});
 		const hasDemand = report.demands.some(demand => demand.waiting > 0 && demand.arrivals > 0);
@@ -78,7 +78,7 @@
 	}
 
 	/** Takes an agent's heartbeat. Returns false if a newer agent holds the VM. */
-	takeVmReport(report: VmReport, now: number): boolean {
+	handleVmReport(report: VmReport, now: number): boolean {
 		this.#checkTerm(now);
 		const known = this.#parts.voter.machine.intent.vms.get(report.vm);
 		if (known && isOlderIncarnation(report.incarnation, known.incarnation)) {
--- a/apps/valelead-daemon/src/control/new-control-plane.ts
+++ b/apps/valelead-daemon/src/control/new-control-plane.ts
@@ -9,7 +9,7 @@
 import {Leader} from './leader.js';
 import {newConsensusService} from './new-consensus-service.js';
 import {newControlService} from './new-control-service.js';
-import {Sessions} from './sessions.js';
+import {ControlSessions} from './control-sessions.js';
 import type {ControlPlane} from './control-plane.js';
 import type {FollowerSessions} from './follower-sessions.js';
 import type {LeaderWatch} from './leader-watch.js';
@@ -36,7 +36,7 @@
 	const leader = new Leader({
 		voter, membership, policy, timers, logger,
 	});
-	const sessions = new Sessions({
+	const sessions = new ControlSessions({
 		voter, leader, watch, timers, followers,
 	});
 	const initialOperatorHash = operatorKeyFile === undefined ? '' : hashKey(readFileSync(operatorKeyFile, 'utf8').trim());
--- a/apps/valelead-daemon/src/control/new-control-service.ts
+++ b/apps/valelead-daemon/src/control/new-control-service.ts
@@ -15,13 +15,13 @@
 import {queryRows} from './query-rows.js';
 import {toClaimCommand} from './to-claim-command.js';
 import type {Leader} from './leader.js';
-import type {Sessions} from './sessions.js';
+import type {ControlSessions} from './control-sessions.js';
 import type {Voter} from './voter.js';
 
 type ServiceParts = {
 	readonly voter: Voter;
 	readonly leader: Leader;
-	readonly sessions: Sessions;
+	readonly sessions: ControlSessions;
 	readonly initialOperatorHash: string;
 };
 
--- a/apps/valelead-daemon/src/control/new-voter.ts
+++ b/apps/valelead-daemon/src/control/new-voter.ts
@@ -2,12 +2,12 @@
 import type {ChannelPool} from '@valelead/protocol';
 import type {Logger} from 'pino';
 import {exitWithLogs} from '../exit-with-logs.js';
-import type {VoterTerms} from './voter-terms.js';
+import type {VoterOptions} from './voter-options.js';
 import {Voter} from './voter.js';
 
-type VoterFoundation = {
+type NewVoterParts = {
 	readonly vm: string;
-	readonly terms: VoterTerms;
+	readonly options: VoterOptions;
 	readonly mayForm?: boolean;
 	/** Where the voters reach each other. */
 	readonly controlAddresses: readonly string[];
@@ -17,9 +17,9 @@
 };
 
 /** A voter that ends its process when its disk fails for good. */
-export const newVoter = ({vm, terms, mayForm, controlAddresses, logger, timers, pool}: VoterFoundation): Voter => new Voter({
+export const newVoter = ({vm, options, mayForm, controlAddresses, logger, timers, pool}: NewVoterParts): Voter => new Voter({
 	vm,
-	settings: terms,
+	settings: options,
 	...(mayForm !== undefined && {mayForm}),
 	controlAddresses,
 	pool,
--- a/apps/valelead-daemon/src/control/start-voter.ts
+++ b/apps/valelead-daemon/src/control/start-voter.ts
@@ -4,7 +4,7 @@
 import {newServerCredentials} from '../tls/new-server-credentials.js';
 import type {EntrySettings} from '../settings/entry-settings.js';
 import type {VoterSettings} from '../settings/voter-settings.js';
-import {handOver} from './hand-over.js';
+import {transferLeadership} from './transfer-leadership.js';
 import {LeaderWatch} from './leader-watch.js';
 import {newControlPlane} from './new-control-plane.js';
 import {newVoter} from './new-voter.js';
@@ -23,7 +23,7 @@
 /** Starts the voter of an entry: its log, its services, and what it does while it leads. */
 export const startVoter = async ({settings, logger, timers, pool}: Foundation, voterSettings: VoterSettings): Promise<RunningVoter> => {
 	const voter = newVoter({
-		vm: settings.vm, terms: voterSettings, controlAddresses: settings.controlAddresses, logger, timers, pool,
+		vm: settings.vm, options: voterSettings, controlAddresses: settings.controlAddresses, logger, timers, pool,
 	});
 	const watch = new LeaderWatch({
 		voter, electionTimeoutMs: voterSettings.electionTimeoutMs, clock: SYSTEM_CLOCK, timers,
@@ -44,7 +44,7 @@
 	sessions.start();
 	return {
 		async stop() {
-			await handOver(voter, timers);
+			await transferLeadership(voter, timers);
 			sessions.close();
 			await voter.stop();
 			server.stop();
--- a/apps/valelead-daemon/src/control/hand-over.ts
+++ b/apps/valelead-daemon/src/control/transfer-leadership.ts
@@ -5,7 +5,7 @@
 const HAND_OVER_MS = 300;
 
 /** Gives the lead to another voter before a planned stop, if this one leads. */
-export const handOver = async (voter: Voter, timers: TimerService): Promise<void> => {
+export const transferLeadership = async (voter: Voter, timers: TimerService): Promise<void> => {
 	if (voter.node?.isLeader) {
 		voter.node.transfer();
 		await timers.wait(HAND_OVER_MS);
--- a/apps/valelead-daemon/src/control/voter-membership.ts
+++ b/apps/valelead-daemon/src/control/voter-membership.ts
@@ -100,7 +100,7 @@
 		const now = SYSTEM_CLOCK.now();
 		if (node?.isCurrentLeader && now - this.#toldAt >= TELL_MS) {
 			this.#toldAt = now;
-			await this.#parts.peers.tellOthers(node.voters.map(voter => voter.address));
+			await this.#parts.peers.announceToStandbys(node.voters.map(voter => voter.address));
 		}
 	}
 
--- a/apps/valelead-daemon/src/control/voter-terms.ts
+++ /dev/null
@@ -1,4 +0,0 @@
-import type {VoterSettings} from '../settings/voter-settings.js';
-
-/** The settings that a voter itself needs. */
-export type VoterTerms = Pick<VoterSettings, 'listen' | 'dataFolder' | 'faultTolerance' | 'electionTimeoutMs' | 'consensusHeartbeatMs' | 'snapshotEvery'>;
--- a/apps/valelead-daemon/src/control/voter.ts
+++ b/apps/valelead-daemon/src/control/voter.ts
@@ -13,7 +13,7 @@
 } from '@valelead/intent';
 import type {Logger} from 'pino';
 import type {StoredRouting} from './stored-routing.js';
-import type {VoterTerms} from './voter-terms.js';
+import type {VoterOptions} from './voter-options.js';
 import {ControlMachine} from './control-machine.js';
 import {ControllerPeers} from './controller-peers.js';
 import {GrpcTransport} from './grpc-transport.js';
@@ -22,7 +22,7 @@
 
 type VoterParts = {
 	readonly vm: string;
-	readonly settings: VoterTerms;
+	readonly settings: VoterOptions;
 	/** Whether a voter with an empty disk may form a quorum; otherwise it only joins one. */
 	readonly mayForm?: boolean;
 	readonly controlAddresses: readonly string[];
--- a/apps/valelead-daemon/src/controller/control-reply.ts
+++ b/apps/valelead-daemon/src/controller/control-response.ts
@@ -1,5 +1,5 @@
 /** An answer of the control interface. */
-export type ControlReply = {
+export type ControlResponse = {
 	readonly status: number;
 	readonly body: string;
 	readonly location?: string;
--- a/apps/valelead-daemon/src/controller/control-server.ts
+++ b/apps/valelead-daemon/src/controller/control-server.ts
@@ -16,11 +16,11 @@
 import {withTimeout} from '../with-timeout.js';
 import {getHost} from '../get-host.js';
 import {getPort} from '../get-port.js';
-import type {ControlReply} from './control-reply.js';
+import type {ControlResponse} from './control-response.js';
 import {newRedirect} from './new-redirect.js';
 import {newRefusal} from './new-refusal.js';
 import type {RefusalLog} from './refusal-log.js';
-import {writeReply} from './write-reply.js';
+import {writeResponse} from './write-response.js';
 
 type ControlServerParts = {
 	readonly codec: ControlCodec;
@@ -41,7 +41,7 @@
 /** How long a commit may take before the caller is told to try again, in milliseconds. Callers wait one second or more. */
 const COMMIT_TIMEOUT_MS = 3000;
 
-const OK: ControlReply = {status: 200, body: '{}'};
+const OK: ControlResponse = {status: 200, body: '{}'};
 
 /** Serves operators and upstreams. Only the leader answers; the other voters redirect to it. */
 export class ControlServer {
@@ -70,14 +70,14 @@
 		try {
 			const body = await readBody(message, MAX_BODY_BYTES);
 			const reply = this.#getRedirect(call, message.url ?? '') ?? await this.#carryOut(call, body.toString('utf8'));
-			writeReply(response, reply);
+			writeResponse(response, reply);
 		} catch (error) {
-			writeReply(response, this.#newFailure(call, error));
+			writeResponse(response, this.#newFailure(call, error));
 		}
 	}
 
 	/** Where another voter leads, its address; without a leader, a refusal that asks to come back. */
-	#getRedirect(call: ControlCall, url: string): ControlReply | undefined {
+	#getRedirect(call: ControlCall, url: string): ControlResponse | undefined {
 		const {voter, address} = this.#parts;
 		if (call.kind === 'unknown' || voter.node?.isCurrentLeader) {
 			return undefined;
@@ -91,7 +91,7 @@
 		return newRedirect(leader, address, url);
 	}
 
-	async #carryOut(call: ControlCall, body: string): Promise<ControlReply> {
+	async #carryOut(call: ControlCall, body: string): Promise<ControlResponse> {
 		switch (call.kind) {
 			case 'replaceRouting': {
 				return this.#replace(body);
@@ -119,7 +119,7 @@
 		}
 	}
 
-	async #replace(document: string): Promise<ControlReply> {
+	async #replace(document: string): Promise<ControlResponse> {
 		const {codec, voter, logger} = this.#parts;
 		const routing = codec.decodeRouting(document);
 		const faults = getRoutingFaults(routing);
@@ -152,7 +152,7 @@
 		);
 	}
 
-	#read(): ControlReply {
+	#read(): ControlResponse {
 		const {voter} = this.#parts;
 		const {routing} = voter.machine;
 		if (!voter.node?.canRead || !routing) {
@@ -162,7 +162,7 @@
 		return {status: 200, body: routing.document};
 	}
 
-	#newFailure(call: ControlCall, error: unknown): ControlReply {
+	#newFailure(call: ControlCall, error: unknown): ControlResponse {
 		const code = error instanceof ValeleadError ? error.code : RESULT_CODE.Internal;
 		this.#parts.refusals.note(call, code, (error as Error).message);
 		this.#parts.onRefusal(call, code);
--- a/apps/valelead-daemon/src/controller/start-controller.ts
+++ b/apps/valelead-daemon/src/controller/start-controller.ts
@@ -6,7 +6,7 @@
 import {CommittedRouting} from '../control/committed-routing.js';
 import {FollowerSessions} from '../control/follower-sessions.js';
 import {GatewayLeases} from '../control/gateway-leases.js';
-import {handOver} from '../control/hand-over.js';
+import {transferLeadership} from '../control/transfer-leadership.js';
 import {LeaderWatch} from '../control/leader-watch.js';
 import {LimitRegistry} from '../control/limit-registry.js';
 import {newControlPlane} from '../control/new-control-plane.js';
@@ -42,7 +42,7 @@
 	const pool = new ChannelPool(newChannelCredentials(settings.tls));
 	const voter = newVoter({
 		vm: settings.vm,
-		terms: {...settings, listen: `${settings.host}:${settings.peerPort}`},
+		options: {...settings, listen: `${settings.host}:${settings.peerPort}`},
 		mayForm: settings.mayForm,
 		controlAddresses: getPeerAddresses(settings),
 		logger,
@@ -163,7 +163,7 @@
 	logger.info({event: 'started', control: settings.control, startMs: getStartMs()}, 'controller started');
 	return {
 		async stop() {
-			await handOver(voter, timers);
+			await transferLeadership(voter, timers);
 			control.close();
 			sessions.close();
 			await voter.stop();
--- a/apps/valelead-daemon/src/controller/write-reply.ts
+++ b/apps/valelead-daemon/src/controller/write-response.ts
@@ -1,8 +1,8 @@
 import type {ServerResponse} from 'node:http';
-import type {ControlReply} from './control-reply.js';
+import type {ControlResponse} from './control-response.js';
 
 /** Writes an answer of the control interface. */
-export const writeReply = (response: ServerResponse, {status, body, location}: ControlReply): void => {
+export const writeResponse = (response: ServerResponse, {status, body, location}: ControlResponse): void => {
 	response.writeHead(status, {'content-type': 'application/json', ...(location !== undefined && {location})});
 	response.end(body);
 };
--- a/apps/valelead-daemon/src/follower/routing-follower.ts
+++ b/apps/valelead-daemon/src/follower/routing-follower.ts
@@ -31,7 +31,7 @@
 import {encodeQuotaUsage} from './encode-quota-usage.js';
 import {GatewayCount} from './gateway-count.js';
 import type {LimitExchange} from './limit-exchange.js';
-import type {OrderDuties} from './order-duties.js';
+import type {OrderLeaseExchange} from './order-lease-exchange.js';
 import type {QuotaExchange} from './quota-exchange.js';
 
 type FollowerParts = {
@@ -43,7 +43,7 @@
 	/** Tells when the process was last suspended, and for how long in all. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
 	readonly logger: Logger;
-	readonly duties: OrderDuties;
+	readonly duties: OrderLeaseExchange;
 	/** Left out by processes that send no requests to upstreams. */
 	readonly crashes?: CrashExchange;
 	readonly quotas?: QuotaExchange;
--- a/apps/valelead-daemon/src/standby/leader-finder.ts
+++ b/apps/valelead-daemon/src/standby/leader-finder.ts
@@ -60,12 +60,12 @@
 
 	/** Takes the controllers that changed settings name. */
 	configure(addresses: readonly string[]): void {
-		this.learn(this.#configured);
+		this.addAddresses(this.#configured);
 		this.#configured = addresses;
 	}
 
 	/** Remembers controllers, and forgets those that were named longest ago where there are too many. */
-	learn(addresses: readonly string[]): void {
+	addAddresses(addresses: readonly string[]): void {
 		for (const address of addresses.filter(named => named !== '')) {
 			this.#learned.delete(address);
 			this.#learned.add(address);
@@ -116,7 +116,7 @@
 
 		const found = await Promise.all(open.map(async address => {
 			const reply = await this.#identify(address);
-			this.learn(reply?.voterAddresses ?? []);
+			this.addAddresses(reply?.voterAddresses ?? []);
 			return reply ? [reply, ...await this.#identifyAll(reply.voterAddresses, asked)] : [];
 		}));
 		return found.flat();
--- a/apps/valelead-daemon/src/standby/new-standby-consensus-service.ts
+++ b/apps/valelead-daemon/src/standby/new-standby-consensus-service.ts
@@ -21,7 +21,7 @@
 		stream.on('error', end);
 	},
 	identify({request}: ServerUnaryCall<IdentifyRequest, unknown>, reply: sendUnaryData<unknown>) {
-		finder.learn([request.address]);
+		finder.addAddresses([request.address]);
 		// Who leads is for the voters to say: controllers that repeat each other's word never learn that it is outdated.
 		reply(null, create(IdentifyReplySchema, {vm, isStandby: true, voterAddresses: finder.addresses}));
 	},
--- a/apps/valelead-daemon/src/standby/standby-server.ts
+++ b/apps/valelead-daemon/src/standby/standby-server.ts
@@ -4,10 +4,10 @@
 } from 'node:http';
 import {RESULT_CODE, RESULT_DETAILS} from '@valelead/common';
 import type {ControlCodec} from '../adapter/control-codec.js';
-import type {ControlReply} from '../controller/control-reply.js';
+import type {ControlResponse} from '../controller/control-response.js';
 import {newRedirect} from '../controller/new-redirect.js';
 import {newRefusal} from '../controller/new-refusal.js';
-import {writeReply} from '../controller/write-reply.js';
+import {writeResponse} from '../controller/write-response.js';
 import {getHost} from '../get-host.js';
 import {getPort} from '../get-port.js';
 import type {LeaderFinder} from './leader-finder.js';
@@ -45,10 +45,10 @@
 	}
 
 	async #answer(message: IncomingMessage, response: ServerResponse): Promise<void> {
-		writeReply(response, await this.#getReply(message.method ?? '', message.url ?? ''));
+		writeResponse(response, await this.#getReply(message.method ?? '', message.url ?? ''));
 	}
 
-	async #getReply(method: string, url: string): Promise<ControlReply> {
+	async #getReply(method: string, url: string): Promise<ControlResponse> {
 		const {codec, finder, address} = this.#parts;
 		if (codec.decodeCall(method, url).kind === 'unknown') {
 			return newRefusal(RESULT_CODE.UnknownPath, RESULT_DETAILS[RESULT_CODE.UnknownPath].meaning);
--- a/apps/valelead-daemon/tests/leader-finder.steps.ts
+++ b/apps/valelead-daemon/tests/leader-finder.steps.ts
@@ -105,7 +105,7 @@
 When('{int} controllers announce themselves, the last one as the leader', function (this: FinderWorld, count: number) {
 	const addresses = Array.from({length: count}, (_value, index) => `n${index}`);
 	for (const address of addresses) {
-		this.finder.learn([address]);
+		this.finder.addAddresses([address]);
 	}
 
 	this.last = addresses.at(-1)!;
