--- a/apps/valelead-daemon/tests/controller-peers.steps.ts
+++ b/apps/valelead-daemon/tests/controller-peers.steps.ts
@@ -5,7 +5,8 @@
 import {type ChannelPool, Consensus} from '@valelead/protocol';
 import {ControllerPeers} from 'valelead-daemon';
 
-type Conduct = {
+/** How a controller replies to an identify call. */
+type Behaviour = {
 	readonly isStandby: boolean;
 	readonly isFormed: boolean;
 	readonly voterAddresses: readonly string[];
@@ -14,36 +15,36 @@
 
 type PeersWorld = {
 	peers: ControllerPeers;
-	conducts: Map<string, Conduct>;
-	/** Who names which leader when it is asked to let a voter in. */
-	redirections: Map<string, string>;
-	asked: string[];
+	behaviours: Map<string, Behaviour>;
+	/** Leader addresses that controllers return when they refuse a join request, by the address of the controller. */
+	redirects: Map<string, string>;
+	joinRequests: string[];
 };
 
 const split = (text: string): string[] => text === '' ? [] : text.split(', ');
 
-const identify = async ({conducts}: PeersWorld, address: string): Promise<object> => {
-	const conduct = conducts.get(address);
-	if (!conduct) {
+const identify = async ({behaviours}: PeersWorld, address: string): Promise<object> => {
+	const behaviour = behaviours.get(address);
+	if (!behaviour) {
 		throw new Error(`${address} is down`);
 	}
 
-	await wait(conduct.delayMs);
+	await wait(behaviour.delayMs);
 	return {
-		...conduct, id: conduct.isStandby ? '' : address, vm: address, leaderAddress: '', formation: [],
+		...behaviour, id: behaviour.isStandby ? '' : address, vm: address, leaderAddress: '', formation: [],
 	};
 };
 
-const join = ({redirections, asked}: PeersWorld, address: string): object => {
-	asked.push(address);
-	const leaderAddress = redirections.get(address);
+const join = ({redirects, joinRequests}: PeersWorld, address: string): object => {
+	joinRequests.push(address);
+	const leaderAddress = redirects.get(address);
 	return leaderAddress === undefined ? {code: RESULT_CODE.Ok, leaderAddress: address} : {code: RESULT_CODE.NotLeader, leaderAddress};
 };
 
-Given('a voter whose settings name {string}', function (this: PeersWorld, addresses: string) {
-	this.conducts = new Map();
-	this.redirections = new Map();
-	this.asked = [];
+Given('a voter whose settings list {string}', function (this: PeersWorld, addresses: string) {
+	this.behaviours = new Map();
+	this.redirects = new Map();
+	this.joinRequests = [];
 	const pool = {
 		get: (address: string) => ({
 			unary: async (method: unknown) => method === Consensus.method.join ? join(this, address) : identify(this, address),
@@ -54,26 +55,26 @@
 	});
 });
 
-When('{string} is without a disk and names {string} after {int} ms', function (this: PeersWorld, address: string, voters: string, delayMs: number) {
-	this.conducts.set(address, {
+When('{string} has no disk and reports the voters {string} after {int} ms', function (this: PeersWorld, address: string, voters: string, delayMs: number) {
+	this.behaviours.set(address, {
 		isStandby: true, isFormed: false, voterAddresses: split(voters), delayMs,
 	});
 });
 
 When('{string} belongs to a quorum', function (this: PeersWorld, address: string) {
-	this.conducts.set(address, {
+	this.behaviours.set(address, {
 		isStandby: false, isFormed: true, voterAddresses: [], delayMs: 0,
 	});
 });
 
 When('{string} is a voter without a quorum', function (this: PeersWorld, address: string) {
-	this.conducts.set(address, {
+	this.behaviours.set(address, {
 		isStandby: false, isFormed: false, voterAddresses: [], delayMs: 0,
 	});
 });
 
-When('a request to be let in at {string} is answered with leader {string}', function (this: PeersWorld, address: string, leader: string) {
-	this.redirections.set(address, leader);
+When('a join request to {string} returns the leader {string}', function (this: PeersWorld, address: string, leader: string) {
+	this.redirects.set(address, leader);
 });
 
 Then('{string} are found, of which {string} can vote', async function (this: PeersWorld, addresses: string, voters: string) {
@@ -82,9 +83,9 @@
 	assert.deepEqual(found.filter(({canVote}) => canVote).map(({voter}) => voter.address), split(voters));
 });
 
-Then('{string} are asked to let it in, and the last one does', async function (this: PeersWorld, addresses: string) {
+Then('{string} receive a join request, and the last one admits the voter', async function (this: PeersWorld, addresses: string) {
 	await this.peers.askToJoin({
 		id: 'self', vm: 'self', address: 'self', isLearner: false,
 	}, '');
-	assert.deepEqual(this.asked, split(addresses));
+	assert.deepEqual(this.joinRequests, split(addresses));
 });
--- a/apps/valelead-daemon/tests/follower.steps.ts
+++ b/apps/valelead-daemon/tests/follower.steps.ts
@@ -24,19 +24,19 @@
 	FollowerSessions, GatewayLeases, LeaderWatch, SessionClient, encodeCrash, newStandbyControlService,
 } from 'valelead-daemon';
 
-/** What a voter of the test answers to a report, or undefined while it is silent. */
+/** Returns the reply of a voter to a report; undefined while the voter does not respond. */
 type VoterRule = () => Partial<SessionUpdate> | undefined;
 
 type FollowerWorld = {
 	time: VirtualTime;
-	/** The follower's. */
+	/** The process of the follower. */
 	process: VirtualProcess;
 	timers: TimerService;
 	clock: Clock;
 	voters: Map<string, VoterRule>;
-	/** Where the follower opened sessions. */
+	/** Addresses at which the follower opened sessions. */
 	opened: string[];
-	/** A voter that the follower's settings do not name. */
+	/** A voter that is missing from the follower's settings. */
 	unlisted: string;
 	leaderAddress: string;
 	routingVersion: number;
@@ -47,15 +47,15 @@
 	isSettled: boolean;
 	committed: {version: number; document: string};
 	node: {isCurrentLeader: boolean; canRead: boolean; isInformed: boolean; voters: readonly never[]};
-	/** A voter that started from its disk, the last entry that its state holds, and how many it was told to be committed. */
+	/** A voter that started from its disk. `applied` is the last entry in its state, `reportedCommitIndex` the commit index that its leader reported. */
 	started: ConsensusNode;
 	applied: number;
-	/** Gateways that share budgets, as each gateway tells. */
+	/** Number of gateways that share budgets, which each gateway reports. */
 	gatewayCount: number;
-	/** Runs of whose crash the judgement was told. */
+	/** Runs whose crash the quarantine registry has received. */
 	notedRuns: string[];
-	told: number;
-	/** A voter whose word on its leader is looked at. */
+	reportedCommitIndex: number;
+	/** A voter whose LeaderWatch is tested. */
 	watched: {leaderAddress: string; readonly record: {readonly id: string}; readonly node: {readonly voters: readonly Voter[]} | undefined};
 	watch: LeaderWatch;
 	standby: ReturnType<typeof newStandbyControlService>;
@@ -67,10 +67,10 @@
 const STEP_MS = 10;
 const NEW_VERSION = 2;
 
-/** Stands for parts that the scenario does not look at. */
+/** Replaces dependencies that the scenario does not use. */
 const ignore = (): void => undefined;
 
-/** The leader's end of a session. */
+/** The leader's side of a session. */
 class FakeStream {
 	readonly sent: SessionUpdate[] = [];
 	readonly on = ignore;
@@ -81,10 +81,10 @@
 	}
 }
 
-/** A follower's end of a session with a voter of the test. */
+/** A follower's side of a session with a voter of the test. */
 class FakeSession {
 	readonly #time: VirtualTime;
-	/** The follower's. */
+	/** The process of the follower. */
 	readonly #process: VirtualProcess;
 	readonly #getAnswer: () => Partial<SessionUpdate> | undefined;
 	#onData: (update: SessionUpdate) => void = ignore;
@@ -119,7 +119,7 @@
 		return true;
 	}
 
-	/** Ends with an error after a moment, as the library's streams do. */
+	/** Ends with an error in a later event-loop iteration, as the streams of the gRPC library do. */
 	cancel(): void {
 		this.#isOpen = false;
 		this.#time.after(0, () => {
@@ -147,7 +147,7 @@
 
 const LOGGER = pino({level: 'silent'});
 
-/** A pool whose channels lead to the voters of the test. */
+/** Creates a channel pool that connects to the voters of the test. */
 const newPool = (world: FollowerWorld): ChannelPool => {
 	const get = (address: string) => ({
 		bidiStream() {
@@ -210,16 +210,16 @@
 	assert.equal(this.current?.address, address);
 });
 
-Given('a follower with a session at {string}, which is cut off and names no leader', function (this: FollowerWorld, address: string) {
+Given('a follower with a session at {string}, which is partitioned and reports no leader', function (this: FollowerWorld, address: string) {
 	this.voters.set(address, () => ({isCurrent: false, leaderAddress: ''}));
 	this.silentAt = this.time.now;
 	startFollower(this, address);
 });
 
-/** How long a voter believes in a leader that it no longer hears, in milliseconds. */
-const BELIEF_MS = 1450;
+/** How long a voter still reports a leader that has stopped responding, in milliseconds. */
+const STALE_LEADER_MS = 1450;
 
-const takeOver = (world: FollowerWorld, old: string, next: string, delayMs: number): void => {
+const changeLeader = (world: FollowerWorld, old: string, next: string, delayMs: number): void => {
 	world.silentAt = world.time.now;
 	world.voters.set(old, () => undefined);
 	world.voters.set(next, () => {
@@ -228,15 +228,15 @@
 			return {isCurrent: true, leaderAddress: next, ...newRouting(NEW_VERSION)};
 		}
 
-		return {isCurrent: false, leaderAddress: passedMs < BELIEF_MS ? old : ''};
+		return {isCurrent: false, leaderAddress: passedMs < STALE_LEADER_MS ? old : ''};
 	});
 };
 
-When('{string} falls silent and {string} takes over after {int} ms with a newer routing', function (this: FollowerWorld, old: string, next: string, delayMs: number) {
-	takeOver(this, old, next, delayMs);
+When('{string} stops responding and {string} becomes leader after {int} ms with a newer routing', function (this: FollowerWorld, old: string, next: string, delayMs: number) {
+	changeLeader(this, old, next, delayMs);
 });
 
-When('{string} and {string} fall silent right before a report and {string} takes over after {int} ms with a newer routing', function (
+When('{string} and {string} stop responding right before a report and {string} becomes leader after {int} ms with a newer routing', function (
 	this: FollowerWorld,
 	old: string,
 	other: string,
@@ -245,38 +245,38 @@
 ) {
 	this.time.advance(HEARTBEAT_MS - (2 * STEP_MS));
 	this.voters.set(other, () => undefined);
-	takeOver(this, old, next, delayMs);
+	changeLeader(this, old, next, delayMs);
 });
 
-When('{string} stands still for {int} ms and goes on to lead', function (this: FollowerWorld, address: string, standMs: number) {
+When('{string} is suspended for {int} ms and then leads again', function (this: FollowerWorld, address: string, suspendedMs: number) {
 	this.silentAt = this.time.now;
 	this.current = undefined;
-	this.voters.set(address, () => this.time.now - this.silentAt < standMs ? undefined : {isCurrent: true, leaderAddress: address});
+	this.voters.set(address, () => this.time.now - this.silentAt < suspendedMs ? undefined : {isCurrent: true, leaderAddress: address});
 });
 
-When('the follower stands still for {int} ms', function (this: FollowerWorld, standMs: number) {
+When('the follower is suspended for {int} ms', function (this: FollowerWorld, suspendedMs: number) {
 	this.process.freeze();
-	this.time.advance(standMs);
+	this.time.advance(suspendedMs);
 	this.process.thaw();
 	this.time.advance(2 * HEARTBEAT_MS);
 });
 
-Then('it has asked {string} once, and nobody else', function (this: FollowerWorld, address: string) {
+Then('it has opened one session, at {string}', function (this: FollowerWorld, address: string) {
 	assert.deepEqual(this.opened, [address]);
 	assert.ok(this.time.now - this.current!.at <= HEARTBEAT_MS);
 });
 
-When('{string} falls silent and {string} knows a newer routing but no leader', function (this: FollowerWorld, old: string, next: string) {
+When('{string} stops responding and {string} has a newer routing but no leader', function (this: FollowerWorld, old: string, next: string) {
 	this.silentAt = this.time.now;
 	this.voters.set(old, () => undefined);
 	this.voters.set(next, () => ({isCurrent: false, leaderAddress: '', ...newRouting(NEW_VERSION)}));
 });
 
-Then('the follower holds that routing within {int} ms of the silence', function (this: FollowerWorld, limitMs: number) {
+Then('the follower has that routing within {int} ms of the failure', function (this: FollowerWorld, limitMs: number) {
 	waitWithin(this, this.silentAt, limitMs, () => this.routingVersion === NEW_VERSION);
 });
 
-Then('the follower has a session at {string} within {int} ms of the start/standstill', function (this: FollowerWorld, address: string, limitMs: number) {
+Then('the follower has a session at {string} within {int} ms of the start/suspension', function (this: FollowerWorld, address: string, limitMs: number) {
 	waitWithin(this, this.silentAt, limitMs, () => this.current?.address === address);
 });
 
@@ -310,13 +310,13 @@
 	}
 });
 
-Given('a voter that started and has heard no leader, with a quarantine and a routing', function (this: FollowerWorld) {
+Given('a voter that has started and received nothing from a leader, with a quarantine list and a routing', function (this: FollowerWorld) {
 	const list = create(QuarantineListSchema);
 	startVoter(this, false, {...NO_QUARANTINE, version: 1, getList: () => list} as unknown as typeof NO_QUARANTINE);
 	this.committed.version = NEW_VERSION;
 });
 
-Given('a voter that does not lead yet and judges requests', function (this: FollowerWorld) {
+Given('a voter that is not the leader yet and decides on quarantines', function (this: FollowerWorld) {
 	const list = create(QuarantineListSchema);
 	this.notedRuns = [];
 	const getNow = (): number => this.time.now;
@@ -336,11 +336,11 @@
 	report(this, vm, 1, [encodeCrash({runId, suspects: []})]);
 });
 
-When('the voter leads', function (this: FollowerWorld) {
+When('the voter becomes leader', function (this: FollowerWorld) {
 	Object.assign(this.node, {isCurrentLeader: true, canRead: true, isInformed: true});
 });
 
-When('the voter leads and tells its followers of a newer routing', function (this: FollowerWorld) {
+When('the voter becomes leader and sends its followers a newer routing', function (this: FollowerWorld) {
 	Object.assign(this.node, {isCurrentLeader: true, canRead: true, isInformed: true});
 	this.committed.version = NEW_VERSION;
 	this.sessions.pushSoon();
@@ -349,15 +349,15 @@
 
 const hasLease = ({streams}: FollowerWorld, vm: string): boolean | undefined => streams.get(vm)!.sent.findLast(({isCurrent}) => isCurrent)?.isCrashLeaseGranted;
 
-Then('{string} was told by a leader that does not let it go by its list', function (this: FollowerWorld, vm: string) {
+Then('{string} received an update of a leader without a crash lease', function (this: FollowerWorld, vm: string) {
 	assert.equal(hasLease(this, vm), false);
 });
 
-Then('{string} was told by a leader that lets it go by its list', function (this: FollowerWorld, vm: string) {
+Then('{string} received an update of a leader with a crash lease', function (this: FollowerWorld, vm: string) {
 	assert.equal(hasLease(this, vm), true);
 });
 
-Then('its judgement was told of the crash of run {string}', function (this: FollowerWorld, runId: string) {
+Then('its quarantine registry has received the crash of run {string}', function (this: FollowerWorld, runId: string) {
 	assert.deepEqual([...new Set(this.notedRuns)], [runId]);
 });
 
@@ -394,18 +394,18 @@
 	assert.deepEqual(getSentVersions(this, vm), [NEW_VERSION]);
 });
 
-Then('{string} was sent no quarantine and no routing', function (this: FollowerWorld, vm: string) {
+Then('{string} was sent no quarantine list and no routing', function (this: FollowerWorld, vm: string) {
 	const {sent} = this.streams.get(vm)!;
 	assert.equal(sent.length, 1);
 	assert.deepEqual([sent[0].routing, sent[0].quarantine], [undefined, undefined]);
 });
 
-Then('{string} was sent the quarantine and the newer routing', function (this: FollowerWorld, vm: string) {
+Then('{string} was sent the quarantine list and the newer routing', function (this: FollowerWorld, vm: string) {
 	assert.deepEqual(getSentVersions(this, vm), [NEW_VERSION]);
 	assert.ok(this.streams.get(vm)!.sent.at(-1)?.quarantine);
 });
 
-When('a newer routing is committed and the leader settles', async function (this: FollowerWorld) {
+When('a newer routing is committed and the leader waits for its followers', async function (this: FollowerWorld) {
 	this.committed.version = NEW_VERSION;
 	this.isSettled = false;
 	void (async () => {
@@ -430,11 +430,11 @@
 	await Promise.resolve();
 });
 
-Then('the leader is not settled', function (this: FollowerWorld) {
+Then('the leader is still waiting', function (this: FollowerWorld) {
 	assert.equal(this.isSettled, false);
 });
 
-Then('the leader is settled', function (this: FollowerWorld) {
+Then('the leader is no longer waiting', function (this: FollowerWorld) {
 	assert.equal(this.isSettled, true);
 });
 
@@ -453,7 +453,7 @@
 	}
 });
 
-When('{string} confirms the last one that it was sent', function (this: FollowerWorld, vm: string) {
+When('{string} confirms the last routing that it was sent', function (this: FollowerWorld, vm: string) {
 	report(this, vm, getSentVersions(this, vm).at(-1)!);
 	this.time.advance(STEP_MS);
 });
@@ -467,11 +467,11 @@
 	assert.equal(getSentVersions(this, vm).at(-1), version);
 });
 
-Then('{string} is told that its routing is the newest: {word}', function (this: FollowerWorld, vm: string, word: string) {
+Then('{string} receives the confirmation that its routing is the newest: {word}', function (this: FollowerWorld, vm: string, word: string) {
 	assert.equal(this.streams.get(vm)!.sent.at(-1)!.isRoutingConfirmed, word === 'yes');
 });
 
-/** The term in which everything here was written, before and after the restart. */
+/** The term of all entries, before and after the restart. */
 const TERM = 3;
 
 const MEMBERS: readonly Voter[] = ['a', 'b', 'c'].map(id => ({
@@ -482,7 +482,7 @@
 	index: first + position, term: TERM, kind: LOG_ENTRY_KIND.Command, data: '',
 }));
 
-Given('a voter that starts from its disk with {int} entries, of which its last snapshot holds {int}', function (this: FollowerWorld, entries: number, held: number) {
+Given('a voter that starts from its disk with {int} log entries, of which its last snapshot contains {int}', function (this: FollowerWorld, entries: number, held: number) {
 	newWorld(this);
 	this.applied = held;
 	const take = (index: number): void => {
@@ -516,21 +516,21 @@
 	});
 });
 
-const tell = async (world: FollowerWorld, previousIndex: number, entries: readonly LogEntry[], commitIndex: number): Promise<void> => {
+const sendAppend = async (world: FollowerWorld, previousIndex: number, entries: readonly LogEntry[], commitIndex: number): Promise<void> => {
 	world.started.receive({id: 'b', address: 'b'}, {
 		kind: 'appendRequest', term: TERM, previousIndex, previousTerm: TERM, entries, commitIndex, sentAt: 0,
 	});
-	// The write to the disk.
+	// Waits for the write to the disk.
 	await setImmediate();
 };
 
-When('its leader tells that {int} entries are committed', async function (this: FollowerWorld, commitIndex: number) {
-	this.told = commitIndex;
-	await tell(this, this.applied + 2, [], commitIndex);
+When('its leader reports that {int} entries are committed', async function (this: FollowerWorld, commitIndex: number) {
+	this.reportedCommitIndex = commitIndex;
+	await sendAppend(this, this.applied + 2, [], commitIndex);
 });
 
 When('its leader sends the entries from {int} to {int}', async function (this: FollowerWorld, first: number, last: number) {
-	await tell(this, first - 1, newEntries(first, last), this.told);
+	await sendAppend(this, first - 1, newEntries(first, last), this.reportedCommitIndex);
 });
 
 Then('the voter has applied up to entry {int} and does not know what was acknowledged', function (this: FollowerWorld, index: number) {
@@ -541,16 +541,16 @@
 	assert.deepEqual([this.applied, this.started.isInformed], [index, true]);
 });
 
-const newOutsider: VoterRule = () => ({isCurrent: false, leaderAddress: '', isOutside: true});
+const newOutsideReply: VoterRule = () => ({isCurrent: false, leaderAddress: '', isOutside: true});
 
-Given('{string} and {string} name no leader and say that they are outside', function (this: FollowerWorld, first: string, second: string) {
-	this.voters.set(first, newOutsider);
-	this.voters.set(second, newOutsider);
+Given('{string} and {string} report no leader and that they are outside the quorum', function (this: FollowerWorld, first: string, second: string) {
+	this.voters.set(first, newOutsideReply);
+	this.voters.set(second, newOutsideReply);
 });
 
-Given('{string}, {string} and {string} name no leader and say that they are outside', function (this: FollowerWorld, first: string, second: string, third: string) {
+Given('{string}, {string} and {string} report no leader and that they are outside the quorum', function (this: FollowerWorld, first: string, second: string, third: string) {
 	for (const address of [first, second, third]) {
-		this.voters.set(address, newOutsider);
+		this.voters.set(address, newOutsideReply);
 	}
 });
 
@@ -568,17 +568,17 @@
 	assert.ok(this.opened.length >= least && this.opened.length <= most, String(this.opened.length));
 });
 
-const COUNTS: Readonly<Record<string, {readonly voters: readonly Voter[]} | undefined>> = {
+const MEMBERSHIPS: Readonly<Record<string, {readonly voters: readonly Voter[]} | undefined>> = {
 	'without a quorum': undefined,
-	'that no quorum counts': {voters: MEMBERS.slice(1)},
-	'that is let in': {voters: [{...MEMBERS[0], isLearner: true}, ...MEMBERS.slice(1)]},
-	'that its quorum counts': {voters: MEMBERS},
+	'that is no member of the quorum': {voters: MEMBERS.slice(1)},
+	'that is a learner': {voters: [{...MEMBERS[0], isLearner: true}, ...MEMBERS.slice(1)]},
+	'that is a member of the quorum': {voters: MEMBERS},
 };
 
 Given('a voter {string} that started, with an election timeout of {int} ms', function (this: FollowerWorld, which: string, timeoutMs: number) {
 	newWorld(this);
-	assert.ok(which in COUNTS);
-	this.watched = {leaderAddress: '', record: {id: MEMBERS[0].id}, node: COUNTS[which]};
+	assert.ok(which in MEMBERSHIPS);
+	this.watched = {leaderAddress: '', record: {id: MEMBERS[0].id}, node: MEMBERSHIPS[which]};
 	this.watch = new LeaderWatch({
 		voter: this.watched as never, electionTimeoutMs: timeoutMs, clock: this.clock, timers: this.timers,
 	});
@@ -592,7 +592,7 @@
 	this.time.advance(leaderlessMs);
 });
 
-Then('it says that it is outside: {word}', function (this: FollowerWorld, word: string) {
+Then('it reports that it is outside the quorum: {word}', function (this: FollowerWorld, word: string) {
 	assert.equal(this.watch.isOutside, word === 'yes');
 });
 
@@ -612,7 +612,7 @@
 	this.unlisted = leader;
 });
 
-Then('it asked {string}, {string}, {string} and {string}, each once', function (this: FollowerWorld, first: string, second: string, third: string, fourth: string) {
+Then('it has opened one session each at {string}, {string}, {string} and {string}', function (this: FollowerWorld, first: string, second: string, third: string, fourth: string) {
 	assert.deepEqual(this.opened, [first, second, third, fourth]);
 });
 
@@ -634,7 +634,7 @@
 	await setImmediate();
 });
 
-Then('it names the leader {string} and says that it is outside: {word}', function (this: FollowerWorld, leader: string, word: string) {
+Then('it reports the leader {string} and that it is outside the quorum: {word}', function (this: FollowerWorld, leader: string, word: string) {
 	assert.deepEqual(this.named.map(({leaderAddress, isOutside}) => [leaderAddress, isOutside]), [[leader, word === 'yes']]);
 });
 
@@ -652,7 +652,7 @@
 	}
 });
 
-When('{string} and {string} fall silent, and {string} and {string} are outside until the former leads after {int} ms with a newer routing', function (
+When('{string} and {string} stop responding, and {string} and {string} are outside the quorum until the former becomes leader after {int} ms with a newer routing', function (
 	this: FollowerWorld,
 	first: string,
 	second: string,
@@ -667,7 +667,7 @@
 
 	for (const address of [third, fourth]) {
 		this.voters.set(address, () => this.time.now - this.silentAt < delayMs
-			? newOutsider()
+			? newOutsideReply()
 			: {isCurrent: address === third, leaderAddress: third, ...newRouting(NEW_VERSION)});
 	}
 });
--- a/apps/valelead-daemon/tests/leader-calls.feature
+++ b/apps/valelead-daemon/tests/leader-calls.feature
@@ -1,9 +1,9 @@
-Feature: Calls to the leader while the time of day steps
-  Some machines' time of day jumps by seconds and back. Deadlines are measured by the monotonic clock.
+Feature: Calls to the leader while the wall clock steps
+  On some machines the wall clock jumps by seconds and back. Deadlines are therefore measured by the monotonic clock.
 
-  Scenario Outline: A step of the time of day moves no deadline
-    Given a voter that answers nothing
-    When a call with 2000 ms is made and the time of day steps by <step> ms
+  Scenario Outline: A step of the wall clock moves no deadline
+    Given a voter that does not reply
+    When a call with 2000 ms is made and the wall clock steps by <step> ms
     Then the call ends between 2000 ms and 2800 ms
 
     Examples:
@@ -12,12 +12,11 @@
       | 600000  |
       | -600000 |
 
-  # Seen by reading: what a leader tells of the voters replaced the addresses of the settings. Came about: a process is cut off while all voters that it learnt
-  # of move or are replaced. Cause: nothing of its list is left that answers, and it keeps no other. Proof: once it has learnt, the addresses of the settings
-  # are not tried again however long nobody answers.
-  Scenario: The addresses of the settings are tried after those that were learnt
+  # Guards against a process that never finds the leader again: the voters reported by a leader replaced the addresses of the settings. If all
+  # these voters moved or were replaced while the process was partitioned, no address that it still tried replied.
+  Scenario: The addresses of the settings are tried after those that a leader reported
     Given calls to the leader with "a, b" in the settings
-    When they learn that the voters are "c, a, d"
+    When they receive the voters "c, a, d"
     Then the voters are tried in this order: "c, a, d, b, c"
-    When they learn that the voters are "e"
+    When they receive the voters "e"
     Then the voters are tried in this order: "e, a, b, e"
--- a/apps/valelead-daemon/tests/leader-calls.steps.ts
+++ b/apps/valelead-daemon/tests/leader-calls.steps.ts
@@ -6,7 +6,7 @@
 import {VirtualClock} from '@valelead/emulator';
 import {type ChannelPool, Control, LeaderCalls} from '@valelead/protocol';
 
-/** Never calls back. */
+/** Executor of a promise that never settles. */
 const ignore = (): void => undefined;
 
 type CallsWorld = {
@@ -18,14 +18,14 @@
 
 const LIMIT_MS = 20_000;
 
-Given('a voter that answers nothing', function (this: CallsWorld) {
+Given('a voter that does not reply', function (this: CallsWorld) {
 	this.clock = new VirtualClock();
 	const silent = {unary: async () => new Promise(ignore)};
 	const pool = {get: () => silent, reset: () => undefined};
 	this.calls = new LeaderCalls(pool as unknown as ChannelPool, ['a', 'b'], new TimerService(this.clock, this.clock), this.clock);
 });
 
-When('a call with {int} ms is made and the time of day steps by {int} ms', async function (this: CallsWorld, timeoutMs: number, stepMs: number) {
+When('a call with {int} ms is made and the wall clock steps by {int} ms', async function (this: CallsWorld, timeoutMs: number, stepMs: number) {
 	const realNow = Date.now;
 	this.realNow = realNow;
 	const call = async (): Promise<void> => {
@@ -57,13 +57,13 @@
 	this.calls = new LeaderCalls({} as unknown as ChannelPool, split(addresses), new TimerService(this.clock, this.clock), this.clock);
 });
 
-When('they learn that the voters are {string}', function (this: CallsWorld, addresses: string) {
+When('they receive the voters {string}', function (this: CallsWorld, addresses: string) {
 	this.calls.learn(split(addresses));
 });
 
 Then('the voters are tried in this order: {string}', function (this: CallsWorld, addresses: string) {
 	const [first, ...others] = split(addresses);
-	// From wherever it stands in the list.
+	// Advances to the first address of the expected order, whatever the present position in the list is.
 	for (let tried = 0; this.calls.address !== first && tried < others.length; tried += 1) {
 		this.calls.redirect('');
 	}
--- a/apps/valelead-daemon/tests/leader-finder.feature
+++ b/apps/valelead-daemon/tests/leader-finder.feature
@@ -1,88 +1,88 @@
-Feature: Finding the leader without a vote
-  A controller without a disk asks controllers who leads when somebody wants to know. What it hears may be old.
+Feature: Finding the leader from a controller that is not a voter
+  A controller without a disk asks other controllers for the leader when a caller needs it. Their replies may be outdated.
 
   Background:
-    Given a finder at "self" whose settings name "a, b"
+    Given a finder at "self" whose settings list "a, b"
 
-  Scenario: The leader's own word counts for more than that of others
-    When "a" names leader "a" and voters ""
-    And "b" names leader "c" and voters ""
+  Scenario: A controller that reports itself as leader takes precedence over the reports of other controllers
+    When "a" reports leader "a" and voters ""
+    And "b" reports leader "c" and voters ""
     Then "a" is found
 
-  Scenario: A voter's word counts where the leader does not answer itself
-    When "a" names leader "c" and voters "a, b, c"
+  Scenario: The report of a voter is used if the leader itself does not reply
+    When "a" reports leader "c" and voters "a, b, c"
     And "b" is down
     And "c" is down
     Then "c" is found
 
-  Scenario: Nobody is found where no controller names a leader
-    When "a" names leader "" and voters ""
+  Scenario: No leader is found if no controller reports one
+    When "a" reports leader "" and voters ""
     And "b" is down
     Then "" is found
 
-  Scenario: A controller that does not answer is left out after a while
-    When "a" is silent
-    And "b" names leader "b" and voters ""
+  Scenario: A controller that does not reply within the call timeout is skipped
+    When "a" does not reply
+    And "b" reports leader "b" and voters ""
     Then "b" is found within 400 ms
 
-  Scenario: All are silent
-    When "a" is silent
-    And "b" is silent
+  Scenario: No controller replies
+    When "a" does not reply
+    And "b" does not reply
     Then "" is found within 400 ms
 
-  Scenario: An answer is passed on for a while, and then asked for again
-    When "a" names leader "a" and voters ""
-    And "b" names leader "a" and voters ""
+  Scenario: A found leader is cached for 250 ms and then searched for again
+    When "a" reports leader "a" and voters ""
+    And "b" reports leader "a" and voters ""
     Then "a" is found
     When "a" is down
-    And "b" names leader "b" and voters ""
+    And "b" reports leader "b" and voters ""
     Then "a" is found 249 ms later
     And "b" is found 1 ms later
 
-  Scenario: That nobody leads is not passed on
-    When "a" names leader "" and voters ""
+  Scenario: The result that there is no leader is not cached
+    When "a" reports leader "" and voters ""
     And "b" is down
     Then "" is found
-    When "a" names leader "a" and voters ""
+    When "a" reports leader "a" and voters ""
     Then "a" is found
 
   Scenario: Callers at the same time share one search
-    When "a" names leader "a" and voters ""
-    And "b" names leader "a" and voters ""
+    When "a" reports leader "a" and voters ""
+    And "b" reports leader "a" and voters ""
     Then "a" is found for 5 callers at once, by 2 calls
 
-  Scenario: Voters that were named are remembered when those of the settings are gone
-    When "a" names leader "a" and voters "a, c"
+  Scenario: Reported voters are remembered when those of the settings are down
+    When "a" reports leader "a" and voters "a, c"
     And "b" is down
-    And "c" names leader "a" and voters ""
+    And "c" reports leader "a" and voters ""
     Then "a" is found
     When "a" is down
-    And "c" names leader "c" and voters ""
+    And "c" reports leader "c" and voters ""
     Then "c" is found 250 ms later
 
-  Scenario: Changed settings are taken, and those named before are still asked
-    When the settings name "d" from now on
-    And "a" names leader "a" and voters ""
+  Scenario: After a change of the settings the previous controllers are still asked
+    When the settings list "d" from now on
+    And "a" reports leader "a" and voters ""
     And "b" is down
     And "d" is down
     Then "a" is found
 
-  Scenario: It does not ask itself
-    When the settings name "self, a" from now on
-    And "a" names leader "a" and voters "self"
+  Scenario: A finder does not ask itself
+    When the settings list "self, a" from now on
+    And "a" reports leader "a" and voters "self"
     And "b" is down
     Then "a" is found
     And it knows "a, b"
 
-  Scenario: The latest of those that were named are remembered, and no more than a bound
+  Scenario: The latest reported controllers are remembered, up to a maximum number
     When 100 controllers announce themselves, the last one as the leader
     And "a" is down
     And "b" is down
     Then the last of them is found
     And it knows 66 controllers
 
-  Scenario: Voters that a controller without a disk names are asked in the same search
-    When "a" names leader "" and voters "c"
+  Scenario: Voters that a controller without a disk reports are asked in the same search
+    When "a" reports leader "" and voters "c"
     And "b" is down
-    And "c" names leader "c" and voters ""
+    And "c" reports leader "c" and voters ""
     Then "c" is found
--- a/apps/valelead-daemon/tests/leader-finder.steps.ts
+++ b/apps/valelead-daemon/tests/leader-finder.steps.ts
@@ -5,16 +5,16 @@
 import type {ChannelPool} from '@valelead/protocol';
 import {LeaderFinder, newLogger} from 'valelead-daemon';
 
-type Answer = {
+type Reply = {
 	readonly leaderAddress: string;
 	readonly voterAddresses: readonly string[];
 };
 
-/** How a controller answers. */
-type Conduct = Answer | 'down' | 'silent';
+/** How a controller replies to an identify call. */
+type Behaviour = Reply | 'down' | 'silent';
 
-/** What a search found, and how long it took. */
-type Finding = {
+/** The result of a search, and how long the search took. */
+type SearchResult = {
 	readonly leader: string;
 	readonly tookMs: number;
 };
@@ -22,37 +22,37 @@
 type FinderWorld = {
 	clock: VirtualClock;
 	finder: LeaderFinder;
-	conducts: Map<string, Conduct>;
+	behaviours: Map<string, Behaviour>;
 	calls: number;
 	last: string;
 };
 
-/** Never calls back. */
+/** Executor of a promise that never settles. */
 const ignore = (): void => undefined;
 
-/** Long against any search, and short against a test, in milliseconds. */
+/** Maximum virtual time of a search, in milliseconds; much longer than any search should take. */
 const LIMIT_MS = 5000;
 
 const split = (text: string): string[] => text === '' ? [] : text.split(', ');
 
-const answer = async (world: FinderWorld, address: string): Promise<Answer> => {
+const replyTo = async (world: FinderWorld, address: string): Promise<Reply> => {
 	world.calls += 1;
-	const conduct = world.conducts.get(address) ?? 'down';
-	if (conduct === 'silent') {
+	const behaviour = world.behaviours.get(address) ?? 'down';
+	if (behaviour === 'silent') {
 		return new Promise(ignore);
 	}
 
-	if (conduct === 'down') {
+	if (behaviour === 'down') {
 		throw new Error(`${address} is down`);
 	}
 
-	return conduct;
+	return behaviour;
 };
 
-/** Searches while time passes. */
-const find = async ({clock, finder}: FinderWorld): Promise<Finding> => {
+/** Searches for the leader while virtual time advances. */
+const find = async ({clock, finder}: FinderWorld): Promise<SearchResult> => {
 	const startedAt = clock.now();
-	const found: Finding[] = [];
+	const found: SearchResult[] = [];
 	const search = async (): Promise<void> => {
 		const leader = await finder.find();
 		found.push({leader, tookMs: clock.now() - startedAt});
@@ -70,11 +70,11 @@
 	return found[0];
 };
 
-Given('a finder at {string} whose settings name {string}', function (this: FinderWorld, ownAddress: string, addresses: string) {
+Given('a finder at {string} whose settings list {string}', function (this: FinderWorld, ownAddress: string, addresses: string) {
 	this.clock = new VirtualClock();
-	this.conducts = new Map();
+	this.behaviours = new Map();
 	this.calls = 0;
-	const pool = {get: (address: string) => ({unary: async () => answer(this, address)}), reset: () => undefined};
+	const pool = {get: (address: string) => ({unary: async () => replyTo(this, address)}), reset: () => undefined};
 	this.finder = new LeaderFinder({
 		vm: 'vm',
 		ownAddress,
@@ -86,19 +86,19 @@
 	});
 });
 
-When('{string} names leader {string} and voters {string}', function (this: FinderWorld, address: string, leaderAddress: string, voters: string) {
-	this.conducts.set(address, {leaderAddress, voterAddresses: split(voters)});
+When('{string} reports leader {string} and voters {string}', function (this: FinderWorld, address: string, leaderAddress: string, voters: string) {
+	this.behaviours.set(address, {leaderAddress, voterAddresses: split(voters)});
 });
 
 When('{string} is down', function (this: FinderWorld, address: string) {
-	this.conducts.set(address, 'down');
+	this.behaviours.set(address, 'down');
 });
 
-When('{string} is silent', function (this: FinderWorld, address: string) {
-	this.conducts.set(address, 'silent');
+When('{string} does not reply', function (this: FinderWorld, address: string) {
+	this.behaviours.set(address, 'silent');
 });
 
-When('the settings name {string} from now on', function (this: FinderWorld, addresses: string) {
+When('the settings list {string} from now on', function (this: FinderWorld, addresses: string) {
 	this.finder.configure(split(addresses));
 });
 
@@ -109,7 +109,7 @@
 	}
 
 	this.last = addresses.at(-1)!;
-	this.conducts.set(this.last, {leaderAddress: this.last, voterAddresses: []});
+	this.behaviours.set(this.last, {leaderAddress: this.last, voterAddresses: []});
 });
 
 Then('{string} is found', async function (this: FinderWorld, leader: string) {
--- a/apps/valelead-daemon/tests/suspension.steps.ts
+++ b/apps/valelead-daemon/tests/suspension.steps.ts
@@ -16,17 +16,17 @@
 	lease: {engineAddress: string; fence: number; startsInMs: number};
 };
 
-/** Nothing is sent to engines. */
+/** The codec is not used, as no order is sent to an engine. */
 const NO_CODEC = undefined as never;
 
-/** Some days after the epoch. */
+/** Start of the wall clock, some days after the epoch. */
 const WALL_START_MS = 1_000_000_000;
 
 After(function (this: SuspensionWorld) {
 	this.keepers?.stop();
 });
 
-Given('a process whose clocks have gone on together for {int} ms', function (this: SuspensionWorld, ms: number) {
+Given('a process whose clocks have advanced together for {int} ms', function (this: SuspensionWorld, ms: number) {
 	this.clocks = {now: 0, wall: WALL_START_MS};
 	this.watch = new SuspensionWatch({now: () => this.clocks.now, wallNow: () => this.clocks.wall});
 	this.clocks.now += ms;
@@ -34,10 +34,10 @@
 	assert.equal(this.watch.resumedAt, Number.NEGATIVE_INFINITY);
 });
 
-When('the monotonic clock gains {int} ms and the time of day {int} ms', function (this: SuspensionWorld, monotonic: number, wall: number) {
+When('the monotonic clock advances by {int} ms and the wall clock by {int} ms', function (this: SuspensionWorld, monotonic: number, wall: number) {
 	this.clocks.now += monotonic;
 	this.clocks.wall += wall;
-	// Asked often, as by a process that runs.
+	// Reads the watch after each step, as a running process does.
 	assert.ok(this.watch.lostMs >= 0);
 });
 
@@ -51,8 +51,8 @@
 	assert.equal(this.watch.lostMs, 0);
 });
 
-Given('a holder of a lease on {string} that the leader has just confirmed', function (this: SuspensionWorld, engineAddress: string) {
-	// Timers that never fire: nothing is sent.
+Given('a holder of an order lease on {string} that the leader has just confirmed', function (this: SuspensionWorld, engineAddress: string) {
+	// Timers never fire, so nothing is sent.
 	const wakeups = {set: () => undefined, clear: () => undefined};
 	const clock = {now: () => this.clocks.now, wallNow: () => this.clocks.wall};
 	this.keepers = new EngineKeepers({
@@ -72,7 +72,7 @@
 	});
 });
 
-When('an answer to a report from before the suspension arrives', function (this: SuspensionWorld) {
+When('a reply to a report from before the suspension arrives', function (this: SuspensionWorld) {
 	this.clocks.now += 1;
 	this.clocks.wall += 1;
 	this.keepers!.take({
@@ -80,7 +80,7 @@
 	});
 });
 
-When('the leader answers a report of now', function (this: SuspensionWorld) {
+When('the leader replies to a report made now', function (this: SuspensionWorld) {
 	this.keepers!.take({
 		leases: [this.lease as never], reportedAt: this.clocks.now, ordersFromMs: 0, holdersKnownInMs: 0,
 	});
@@ -99,17 +99,17 @@
 	return new RoutingConfirmation(clock, world.watch, revokeMs);
 };
 
-Given('its routing was confirmed as of now, and keys are of no use {int} ms after they were taken away', function (this: SuspensionWorld, revokeMs: number) {
+Given('its routing was just confirmed, and revoked keys must not be accepted after {int} ms', function (this: SuspensionWorld, revokeMs: number) {
 	this.confirmation = newConfirmation(this, revokeMs);
 	this.confirmation.take(this.clocks.now);
 });
 
-Given('it asks whether its routing is the newest, and keys are of no use {int} ms after they were taken away', function (this: SuspensionWorld, revokeMs: number) {
+Given('it asks for a confirmation of its routing, and revoked keys must not be accepted after {int} ms', function (this: SuspensionWorld, revokeMs: number) {
 	this.confirmation = newConfirmation(this, revokeMs);
 	this.askedAt = this.clocks.now;
 });
 
-When('the word comes that its routing was the newest', function (this: SuspensionWorld) {
+When('the confirmation of its routing arrives', function (this: SuspensionWorld) {
 	this.confirmation.take(this.askedAt);
 });
 
@@ -121,6 +121,6 @@
 	assert.ok(!this.confirmation.isFresh);
 });
 
-Then('without a promise on keys it is fresh', function (this: SuspensionWorld) {
+Then('without a limit for revoked keys it is fresh', function (this: SuspensionWorld) {
 	assert.ok(newConfirmation(this, 0).isFresh);
 });
