--- a/apps/valelead-daemon/src/control/controller-peers.ts
+++ b/apps/valelead-daemon/src/control/controller-peers.ts
@@ -60,7 +60,7 @@
 	}
 
 	/** Returns the configured controllers that reply, and the voters reported by diskless ones if they already belong to a quorum. */
-	async find(): Promise<FoundVoter[]> {
+	async findVoters(): Promise<FoundVoter[]> {
 		const configured = await this.#identify(this.#configured);
 		this.#recordDiscovered(configured);
 		const named = await this.#identify(this.#discovered.filter(address => !this.#configured.includes(address)));
--- a/apps/valelead-daemon/src/control/voter.ts
+++ b/apps/valelead-daemon/src/control/voter.ts
@@ -256,7 +256,7 @@
 	/** With an empty data folder, forms the first quorum together with all voters, or joins the existing one. */
 	async #form(): Promise<void> {
 		while (!this.#node && !this.#isStopped) {
-			const peers = await this.#peers.find();
+			const peers = await this.#peers.findVoters();
 			const decision = getFormation(this.record, this.#peers.configured.length, peers);
 			if (decision.kind !== 'wait' && this.#isAllowed(decision, peers)) {
 				const voters = decision.kind === 'form' ? decision.voters : [];
--- a/apps/valelead-daemon/tests/controller-peers.steps.ts
+++ b/apps/valelead-daemon/tests/controller-peers.steps.ts
@@ -78,7 +78,7 @@
 });
 
 Then('{string} are found, of which {string} can vote', async function (this: PeersWorld, addresses: string, voters: string) {
-	const found = await this.peers.find();
+	const found = await this.peers.findVoters();
 	assert.deepEqual(found.map(({voter}) => voter.address), split(addresses));
 	assert.deepEqual(found.filter(({canVote}) => canVote).map(({voter}) => voter.address), split(voters));
 });
