--- a/apps/valelead-daemon/src/control/control-sessions.ts
+++ b/apps/valelead-daemon/src/control/control-sessions.ts
@@ -41,7 +41,7 @@
 /** Interval at which the endpoint table is refreshed and sent to the entries, in milliseconds. */
 const REFRESH_MS = 200;
 
-/** Manages the sessions with entries and agents: processes their heartbeats and sends them changes. Passes sessions of followers on. */
+/** Manages the sessions with entries and agents: processes their heartbeats and sends them changes. */
 export class ControlSessions {
 	readonly #voter: Voter;
 	readonly #leader: Leader;
@@ -76,6 +76,7 @@
 		return this.#sessions.size;
 	}
 
+	/** Opens a session on a stream. Once the first report shows that a gateway or sidecar opened it, FollowerSessions takes it over. */
 	accept(stream: SessionStream): void {
 		const session: Session = {
 			stream, vm: '', isAgent: false, sentAt: 0, revision: -1, endpointVersion: 0, report: undefined,
--- a/apps/valelead-daemon/src/control/controller-peers.ts
+++ b/apps/valelead-daemon/src/control/controller-peers.ts
@@ -24,7 +24,7 @@
 
 const CALL_TIMEOUT_MS = 1000;
 
-/** Rounds of join calls: to the known leader, then to the controllers of the settings and those they know, then to the leader named by these. */
+/** Maximum rounds of join calls: to the known leader, to the controllers of the settings and those they know, and to the leader named by these. */
 const MAX_JOIN_ROUNDS = 3;
 
 const toFoundVoter = ({address, reply: {id, vm, isFormed, isStandby, proposal, formation}}: IdentifiedPeer): FoundVoter => ({
--- a/apps/valelead-daemon/src/control/follower-session.ts
+++ b/apps/valelead-daemon/src/control/follower-session.ts
@@ -9,7 +9,7 @@
 	readonly stream: ServerDuplexStream<SessionReport, SessionUpdate>;
 	readonly vm: string;
 	readonly role: string;
-	/** Addresses of the engines whose sidecars the follower has reported. */
+	/** Addresses of the engines whose own sidecar the follower has reached, or beside which it runs. */
 	readonly attendedEngines: Set<string>;
 	/** When the last report of the follower arrived. */
 	heardAt: number;
--- a/apps/valelead-daemon/src/follower/duty-report.ts
+++ b/apps/valelead-daemon/src/follower/duty-report.ts
@@ -1,10 +1,10 @@
 import type {EndedLease, HeldLease} from '@valelead/protocol';
 
-/** What a process reports to the leader about its order leases and about the engines to which it could send orders. */
+/** A report to the leader about the order leases of a process and about the engines that have a sidecar. */
 export type DutyReport = {
-	/** Addresses of the engines to which the process could send orders. */
+	/** Addresses of the engines whose own sidecar the process has reached, or beside which it runs. */
 	readonly attendedEngines: string[];
-	/** Address at which the process takes load requests for the engines that it manages. */
+	/** Address at which gateways reach the process for the engines that it manages; empty if it takes no order leases. */
 	readonly keeperAddress: string;
 	/** True if the process is shutting down. */
 	readonly isStopping: boolean;
--- a/apps/valelead-daemon/tests/follower.feature
+++ b/apps/valelead-daemon/tests/follower.feature
@@ -104,7 +104,7 @@
     Given a voter that has started and received nothing from a leader, with a quarantine list and a routing
     When "g1" reports for the first time, with an older routing
     Then "g1" was sent no quarantine list and no routing
-    When the voter has taken what a leader committed
+    When the voter has applied what a leader committed
     And "g1" reports as before
     Then "g1" was sent the quarantine list and the newer routing
 
@@ -173,11 +173,11 @@
     Then it reports that it is outside the quorum: <word>
 
     Examples:
-      | which                   | following | leaderless | word |
-      | without a quorum        | 0         | 0          | yes  |
-      | that is no member of the quorum   | 0         | 0          | yes  |
-      | that is a learner          | 0         | 0          | yes  |
-      | that is a learner          | 500       | 0          | no   |
+      | which                           | following | leaderless | word |
+      | without a quorum                | 0         | 0          | yes  |
+      | that is no member of the quorum | 0         | 0          | yes  |
+      | that is a learner               | 0         | 0          | yes  |
+      | that is a learner               | 500       | 0          | no   |
       | that is a member of the quorum  | 0         | 1300       | no   |
       | that is a member of the quorum  | 0         | 1500       | yes  |
       | that is a member of the quorum  | 5000      | 0          | no   |
--- a/apps/valelead-daemon/tests/follower.steps.ts
+++ b/apps/valelead-daemon/tests/follower.steps.ts
@@ -380,7 +380,7 @@
 	this.node.canRead = true;
 });
 
-When('the voter has taken what a leader committed', function (this: FollowerWorld) {
+When('the voter has applied what a leader committed', function (this: FollowerWorld) {
 	this.node.isInformed = true;
 });
 
