--- a/packages/quarantine/src/crash-ledger.ts
+++ b/packages/quarantine/src/crash-ledger.ts
@@ -1,5 +1,5 @@
 import type {CrashRecord} from './crash-record.js';
-import type {ServedRequests} from './served-requests.js';
+import type {LastServedTimes} from './last-served-times.js';
 
 /** The crashes of the last while, and what they say of the requests that were in progress at them. */
 export type CrashLedger = {
@@ -11,5 +11,5 @@
 	readonly quarantined: Set<string>;
 	/** Requests whose quarantine ended by time; one more crash brings it back. */
 	readonly halfOpen: Set<string>;
-	readonly served: ServedRequests;
+	readonly served: LastServedTimes;
 };
--- a/packages/quarantine/src/get-begun-blame.ts
+++ b/packages/quarantine/src/get-begun-score.ts
@@ -8,5 +8,5 @@
  * innocent one does not begin with them three times, as it is given no second upstream after a crash at which it had just begun, and it runs for a while
  * where no guilty one is.
  */
-export const getBegunBlame = (ledger: CrashLedger, fingerprint: string): number =>
+export const getBegunScore = (ledger: CrashLedger, fingerprint: string): number =>
 	getBegunRuns(ledger, fingerprint).length >= BEGUN_CRASHES ? QUARANTINE_BLAME : 0;
--- a/packages/quarantine/src/get-evidence.ts
+++ b/packages/quarantine/src/get-evidence.ts
@@ -1,9 +1,9 @@
-import {getCrashBlame} from './get-crash-blame.js';
+import {getSingleCrashScore} from './get-single-crash-score.js';
 import type {CrashEvidence} from './crash-evidence.js';
 import type {CrashLedger} from './crash-ledger.js';
 
 /** Other requests that are named for each crash. */
-const MAX_OTHERS = 8;
+const MAX_OTHER_REQUESTS = 8;
 
 /** Crashes that are named for a request: more than a judgement takes. */
 const MAX_CRASHES = 12;
@@ -17,8 +17,8 @@
 			upstreamId: runId,
 			ageMs: Math.round(now - record.at),
 			phase: record.suspects.get(fingerprint)!.phase,
-			blame: getCrashBlame(ledger, record, fingerprint),
-			others: others.slice(0, MAX_OTHERS).map(suspect => `${suspect.fingerprint} ${suspect.phase}`),
+			blame: getSingleCrashScore(ledger, record, fingerprint),
+			others: others.slice(0, MAX_OTHER_REQUESTS).map(suspect => `${suspect.fingerprint} ${suspect.phase}`),
 			otherCount: others.length,
 		};
 	});
--- a/packages/quarantine/src/get-partial-blame.ts
+++ b/packages/quarantine/src/get-partial-blame.ts
@@ -1,5 +1,5 @@
 import {getBlame} from './get-blame.js';
-import {getCrashBlame} from './get-crash-blame.js';
+import {getSingleCrashScore} from './get-single-crash-score.js';
 import {SUSPECT_PHASE} from './suspect-phase.js';
 import type {CrashLedger} from './crash-ledger.js';
 
@@ -9,6 +9,6 @@
  */
 export const getPartialBlame = (ledger: CrashLedger, fingerprint: string, isCleared: (runId: string) => boolean): number =>
 	getBlame(ledger, fingerprint, record => {
-		const hadBegun = record.suspects.get(fingerprint)!.phase === SUSPECT_PHASE.Begun;
-		return hadBegun || !isCleared(record.runId) ? getCrashBlame(ledger, record, fingerprint, true) : 0;
+		const wasBegun = record.suspects.get(fingerprint)!.phase === SUSPECT_PHASE.Begun;
+		return wasBegun || !isCleared(record.runId) ? getSingleCrashScore(ledger, record, fingerprint, true) : 0;
 	});
--- a/packages/quarantine/src/get-crash-blame.ts
+++ b/packages/quarantine/src/get-single-crash-score.ts
@@ -1,5 +1,5 @@
 import {assertNever} from '@valelead/common';
-import {RUNNING_BLAME} from './running-blame.js';
+import {RUNNING_SCORE} from './running-score.js';
 import {SUSPECT_PHASE} from './suspect-phase.js';
 import type {CrashLedger} from './crash-ledger.js';
 import type {CrashRecord} from './crash-record.js';
@@ -12,10 +12,10 @@
 const SHARING_EXPONENT = 0.3;
 
 /** Blame where nothing of the answer had come, beside a request that had just begun: most of these were waiting. */
-const WAITING_BLAME = 0.3;
+const WAITING_SCORE = 0.3;
 
 /** The share of the blame that is left to the others where a quarantined request was in progress too. */
-const EXPLAINED_SHARE = 0.6;
+const EXPLAINED_CRASH_FACTOR = 0.6;
 
 const countPhase = ({suspects}: CrashRecord, phase: SuspectPhaseValue): number => [...suspects.values()].filter(suspect => suspect.phase === phase).length;
 
@@ -23,7 +23,7 @@
  * A crash is laid to the requests that had just begun, or where there are none to those without a part of an answer. Several share it: one that
  * meets three crashes by chance was never there alone, as the guilty one was there too.
  */
-const getWeight = (record: CrashRecord, fingerprint: string): number => {
+const getPhaseScore = (record: CrashRecord, fingerprint: string): number => {
 	const {phase} = record.suspects.get(fingerprint)!;
 	switch (phase) {
 		case SUSPECT_PHASE.Begun: {
@@ -31,11 +31,11 @@
 		}
 
 		case SUSPECT_PHASE.Unanswered: {
-			return countPhase(record, SUSPECT_PHASE.Begun) > 0 ? WAITING_BLAME : countPhase(record, phase) ** -SHARING_EXPONENT;
+			return countPhase(record, SUSPECT_PHASE.Begun) > 0 ? WAITING_SCORE : countPhase(record, phase) ** -SHARING_EXPONENT;
 		}
 
 		case SUSPECT_PHASE.Running: {
-			return RUNNING_BLAME;
+			return RUNNING_SCORE;
 		}
 
 		default: {
@@ -45,7 +45,7 @@
 };
 
 /** Blame where nothing of the answer had come: at another gateway a request may have just begun there. */
-const PARTIAL_BLAME = 0.5;
+const MAX_PARTIAL_SCORE = 0.5;
 
 const isExplained = (ledger: CrashLedger, record: CrashRecord, fingerprint: string): boolean =>
 	[...record.suspects.keys()].some(other => other !== fingerprint && ledger.quarantined.has(other));
@@ -54,9 +54,9 @@
  * How far a request is blamed for one crash that it was in progress at.
  * @param isPartial - Whether only some of the gateways have told what was in progress there. Who had just begun is blamed as with all that is known.
  */
-export const getCrashBlame = (ledger: CrashLedger, record: CrashRecord, fingerprint: string, isPartial = record.isPartial): number => {
-	const weight = getWeight(record, fingerprint);
-	const blame = isExplained(ledger, record, fingerprint) ? weight * EXPLAINED_SHARE : weight;
-	const hadBegun = record.suspects.get(fingerprint)!.phase === SUSPECT_PHASE.Begun;
-	return isPartial && !hadBegun ? Math.min(blame, PARTIAL_BLAME) : blame;
+export const getSingleCrashScore = (ledger: CrashLedger, record: CrashRecord, fingerprint: string, isPartial = record.isPartial): number => {
+	const phaseScore = getPhaseScore(record, fingerprint);
+	const score = isExplained(ledger, record, fingerprint) ? phaseScore * EXPLAINED_CRASH_FACTOR : phaseScore;
+	const wasBegun = record.suspects.get(fingerprint)!.phase === SUSPECT_PHASE.Begun;
+	return isPartial && !wasBegun ? Math.min(score, MAX_PARTIAL_SCORE) : score;
 };
--- a/packages/quarantine/src/mutate-unblamed.ts
+++ b/packages/quarantine/src/mutate-cleared-crashes.ts
@@ -1,7 +1,7 @@
 import type {CrashLedger} from './crash-ledger.js';
 
 /** Forgets the crashes that a request is blamed for. Returns whether there were any. */
-export const mutateUnblamed = (ledger: CrashLedger, fingerprint: string): boolean => {
+export const mutateClearedCrashes = (ledger: CrashLedger, fingerprint: string): boolean => {
 	for (const runId of ledger.runsBySuspect.get(fingerprint) ?? []) {
 		ledger.crashes.get(runId)!.suspects.delete(fingerprint);
 	}
--- a/packages/quarantine/src/mutate-crash.ts
+++ b/packages/quarantine/src/mutate-crash.ts
@@ -4,7 +4,7 @@
 import type {CrashLedger} from './crash-ledger.js';
 import type {CrashRecord} from './crash-record.js';
 import type {Suspect} from './suspect.js';
-import {mutateForgottenCrash} from './mutate-forgotten-crash.js';
+import {mutateRemovedCrash} from './mutate-removed-crash.js';
 
 /** Crashes that are kept; the oldest makes way. At two crashes a second, as many as six of six engines that come back make, two minutes. */
 const MAX_CRASHES = 256;
@@ -15,7 +15,7 @@
 const newRecord = (ledger: CrashLedger, runId: string, now: number, isPartial: boolean): CrashRecord => {
 	if (ledger.crashes.size >= MAX_CRASHES) {
 		const [oldest] = ledger.crashes.values();
-		mutateForgottenCrash(ledger, oldest);
+		mutateRemovedCrash(ledger, oldest);
 	}
 
 	const record: CrashRecord = {
@@ -32,14 +32,14 @@
 
 	const known = record.suspects.get(suspect.fingerprint);
 	const merged = getMergedSuspect(known, suspect);
-	const isNews = merged !== known && (known !== undefined || record.suspects.size < MAX_SUSPECTS);
-	if (isNews) {
+	const isNew = merged !== known && (known !== undefined || record.suspects.size < MAX_SUSPECTS);
+	if (isNew) {
 		record.suspects.set(suspect.fingerprint, merged);
 		const runs = ledger.runsBySuspect.get(suspect.fingerprint) ?? new Set();
 		ledger.runsBySuspect.set(suspect.fingerprint, runs.add(record.runId));
 	}
 
-	return isNews;
+	return isNew;
 };
 
 /**
@@ -48,10 +48,10 @@
  */
 export const mutateCrash = (ledger: CrashLedger, {runId, suspects}: Crash, now: number, isPartial = false): boolean => {
 	const record = ledger.crashes.get(runId) ?? newRecord(ledger, runId, now, isPartial);
-	let isNews = false;
+	let isNew = false;
 	for (const suspect of suspects) {
-		isNews = mutateSuspect(ledger, record, suspect, now) || isNews;
+		isNew = mutateSuspect(ledger, record, suspect, now) || isNew;
 	}
 
-	return isNews;
+	return isNew;
 };
--- a/packages/quarantine/src/mutate-released.ts
+++ b/packages/quarantine/src/mutate-released.ts
@@ -1,4 +1,4 @@
-import {mutateUnblamed} from './mutate-unblamed.js';
+import {mutateClearedCrashes} from './mutate-cleared-crashes.js';
 import type {CrashLedger} from './crash-ledger.js';
 
 /**
@@ -7,7 +7,7 @@
  */
 export const mutateReleased = (ledger: CrashLedger, fingerprint: string, isHalfOpen: boolean): void => {
 	ledger.quarantined.delete(fingerprint);
-	mutateUnblamed(ledger, fingerprint);
+	mutateClearedCrashes(ledger, fingerprint);
 	if (isHalfOpen) {
 		ledger.halfOpen.add(fingerprint);
 	} else {
--- a/packages/quarantine/src/mutate-forgotten-crash.ts
+++ b/packages/quarantine/src/mutate-removed-crash.ts
@@ -2,7 +2,7 @@
 import type {CrashRecord} from './crash-record.js';
 
 /** Takes a crash out of the ledger. */
-export const mutateForgottenCrash = (ledger: CrashLedger, {runId, suspects}: CrashRecord): void => {
+export const mutateRemovedCrash = (ledger: CrashLedger, {runId, suspects}: CrashRecord): void => {
 	ledger.crashes.delete(runId);
 	for (const fingerprint of suspects.keys()) {
 		const runs = ledger.runsBySuspect.get(fingerprint);
--- a/packages/quarantine/tests/crash-model.ts
+++ b/packages/quarantine/tests/crash-simulation.ts
@@ -12,65 +12,65 @@
 
 type Run = {
 	readonly name: string;
-	readonly isGuilty: boolean;
+	readonly isCrashing: boolean;
 	readonly engine: Engine;
 	readonly sentAt: number;
 	readonly beginsAt: number;
 	readonly endsAt: number;
 	readonly attempt: number;
-	readonly isRepeat: boolean;
+	readonly isCallerRetry: boolean;
 };
 
-type ModelTerms = {
+type SimulationOptions = {
 	readonly seed: number;
-	readonly guilty: number;
+	readonly crashingCount: number;
 	/** Whether judgements have an effect. */
-	readonly isJudged: boolean;
+	readonly isQuarantineEnabled: boolean;
 };
 
 const ENGINES = 6;
 const STEP_MS = 5;
-const LENGTH_MS = 40_000;
+const DURATION_MS = 40_000;
 /** From a crash to the judgement on all gateways. */
-const LAG_MS = 25;
-const INNOCENT_GAP_MS = 48;
+const DECISION_LAG_MS = 25;
+const HARMLESS_INTERVAL_MS = 48;
 /** Crashes that no request caused, one in this time. */
-const OTHER_CRASH_MS = 8000;
-const BEGUN_MS = 60;
-const RUN_MS = 1300;
-const ATTEMPTS = 2;
+const UNRELATED_CRASH_INTERVAL_MS = 8000;
+const MAX_BEGUN_MS = 60;
+const HARMLESS_RUN_MS = 1300;
+const MAX_ATTEMPTS = 2;
 
 /** Engines that crash under some requests and come back, callers that try again, and the shipped judgement, in virtual time. */
-export class CrashModel {
+export class CrashSimulation {
 	/** When engines crashed under each guilty request, and when the try was sent. */
 	readonly crashes = new Map<string, Array<{readonly at: number; readonly sentAt: number}>>();
 	readonly quarantined = new Set<string>();
 	served = 0;
 	arrived = 0;
-	readonly #terms: ModelTerms;
+	readonly #options: SimulationOptions;
 	readonly #random: RandomGenerator;
 	readonly #ledger = newCrashLedger();
 	readonly #engines: Engine[];
 	#runs: Run[] = [];
 	#nextEngine = ENGINES;
 	#now = 0;
-	readonly #later: Array<{readonly at: number; readonly act: () => void}> = [];
+	readonly #scheduled: Array<{readonly at: number; readonly act: () => void}> = [];
 
-	constructor(terms: ModelTerms) {
-		this.#terms = terms;
+	constructor(terms: SimulationOptions) {
+		this.#options = terms;
 		this.#random = xoroshiro128plus(terms.seed);
 		this.#engines = Array.from({length: ENGINES}, (_, id) => ({id, upAt: 0}));
-		for (let index = 0; index < terms.guilty; index += 1) {
-			this.#after(this.#draw(3000), () => {
-				this.#try(`guilty ${index}`);
+		for (let index = 0; index < terms.crashingCount; index += 1) {
+			this.#schedule(this.#getRandomInt(3000), () => {
+				this.#sendRepeatedly(`guilty ${index}`);
 			});
 		}
 	}
 
-	play(): void {
-		for (; this.#now < LENGTH_MS; this.#now += STEP_MS) {
-			this.#arrive();
-			for (const {act} of this.#takeDue()) {
+	simulate(): void {
+		for (; this.#now < DURATION_MS; this.#now += STEP_MS) {
+			this.#mutateArrivals();
+			for (const {act} of this.#takeDueCallbacks()) {
 				act();
 			}
 
@@ -80,51 +80,51 @@
 		}
 	}
 
-	#draw(below: number): number {
+	#getRandomInt(below: number): number {
 		return uniformInt(this.#random, 0, below - 1);
 	}
 
-	#after(delayMs: number, act: () => void): void {
-		this.#later.push({at: this.#now + delayMs, act});
+	#schedule(delayMs: number, act: () => void): void {
+		this.#scheduled.push({at: this.#now + delayMs, act});
 	}
 
-	#takeDue(): Array<{readonly act: () => void}> {
-		const due = this.#later.filter(({at}) => at <= this.#now);
-		const rest = this.#later.filter(({at}) => at > this.#now);
-		this.#later.splice(0, this.#later.length, ...rest);
+	#takeDueCallbacks(): Array<{readonly act: () => void}> {
+		const due = this.#scheduled.filter(({at}) => at <= this.#now);
+		const rest = this.#scheduled.filter(({at}) => at > this.#now);
+		this.#scheduled.splice(0, this.#scheduled.length, ...rest);
 		return due;
 	}
 
-	#arrive(): void {
-		if (this.#draw(INNOCENT_GAP_MS) < STEP_MS) {
+	#mutateArrivals(): void {
+		if (this.#getRandomInt(HARMLESS_INTERVAL_MS) < STEP_MS) {
 			this.arrived += 1;
 			this.#send(`innocent ${this.arrived}`, 1, false);
 		}
 
-		if (this.#draw(OTHER_CRASH_MS) < STEP_MS) {
-			this.#crash(this.#engines[this.#draw(ENGINES)]);
+		if (this.#getRandomInt(UNRELATED_CRASH_INTERVAL_MS) < STEP_MS) {
+			this.#crash(this.#engines[this.#getRandomInt(ENGINES)]);
 		}
 	}
 
 	/** A guilty request comes again for ever, as two callers send it. */
-	#try(name: string): void {
+	#sendRepeatedly(name: string): void {
 		this.#send(name, 1, false);
-		this.#after(300 + this.#draw(1500), () => {
-			this.#try(name);
+		this.#schedule(300 + this.#getRandomInt(1500), () => {
+			this.#sendRepeatedly(name);
 		});
 	}
 
 	#send(name: string, attempt: number, isRepeat: boolean): void {
 		const up = this.#engines.filter(({upAt}) => upAt <= this.#now);
-		if (up.length === 0 || (this.#terms.isJudged && this.quarantined.has(name))) {
+		if (up.length === 0 || (this.#options.isQuarantineEnabled && this.quarantined.has(name))) {
 			return;
 		}
 
 		const isGuilty = name.startsWith('guilty');
-		const beginsAt = this.#now + 20 + this.#draw(250);
-		const endsAt = beginsAt + (isGuilty ? 30 + this.#draw(BEGUN_MS) : RUN_MS);
+		const beginsAt = this.#now + 20 + this.#getRandomInt(250);
+		const endsAt = beginsAt + (isGuilty ? 30 + this.#getRandomInt(MAX_BEGUN_MS) : HARMLESS_RUN_MS);
 		this.#runs.push({
-			name, isGuilty, engine: up[this.#draw(up.length)], sentAt: this.#now, beginsAt, endsAt, attempt, isRepeat,
+			name, isCrashing: isGuilty, engine: up[this.#getRandomInt(up.length)], sentAt: this.#now, beginsAt, endsAt, attempt, isCallerRetry: isRepeat,
 		});
 	}
 
@@ -133,7 +133,7 @@
 			return;
 		}
 
-		if (run.isGuilty) {
+		if (run.isCrashing) {
 			const known = this.crashes.get(run.name) ?? [];
 			this.crashes.set(run.name, [...known, {at: this.#now, sentAt: run.sentAt}]);
 			this.#crash(run.engine);
@@ -152,27 +152,27 @@
 		const runId = `run ${engine.id}`;
 		engine.id = this.#nextEngine;
 		this.#nextEngine += 1;
-		engine.upAt = this.#now + 2000 + this.#draw(2000);
+		engine.upAt = this.#now + 2000 + this.#getRandomInt(2000);
 		for (const [index, run] of lost.entries()) {
 			this.#retry(run, suspects[index].phase === SUSPECT_PHASE.Begun);
 		}
 
-		this.#after(LAG_MS, () => {
+		this.#schedule(DECISION_LAG_MS, () => {
 			mutateCrash(this.#ledger, {runId, suspects}, this.#now);
 			for (const name of mutateQuarantined(this.#ledger, suspects.map(suspect => suspect.fingerprint))) {
 				this.quarantined.add(name);
-				this.#runs = this.#terms.isJudged ? this.#runs.filter(run => run.name !== name) : this.#runs;
+				this.#runs = this.#options.isQuarantineEnabled ? this.#runs.filter(run => run.name !== name) : this.#runs;
 			}
 		});
 	}
 
-	#retry({name, attempt, isRepeat, isGuilty}: Run, hadBegun: boolean): void {
+	#retry({name, attempt, isCallerRetry: isRepeat, isCrashing: isGuilty}: Run, hadBegun: boolean): void {
 		const isSuspected = getBlame(this.#ledger, name) >= SUSPICION_BLAME || hadBegun;
-		const isLast = this.#terms.isJudged && isSuspected;
-		if (attempt < ATTEMPTS && !isLast) {
+		const isLast = this.#options.isQuarantineEnabled && isSuspected;
+		if (attempt < MAX_ATTEMPTS && !isLast) {
 			this.#send(name, attempt + 1, isRepeat);
 		} else if (!isGuilty && !isRepeat) {
-			this.#after(200 + this.#draw(800), () => {
+			this.#schedule(200 + this.#getRandomInt(800), () => {
 				this.#send(name, 1, true);
 			});
 		}
@@ -180,7 +180,7 @@
 
 	#newSuspect({name, beginsAt}: Run): Suspect {
 		const ranMs = this.#now - beginsAt;
-		const begun = ranMs <= BEGUN_MS + 30 + STEP_MS ? SUSPECT_PHASE.Begun : SUSPECT_PHASE.Running;
+		const begun = ranMs <= MAX_BEGUN_MS + 30 + STEP_MS ? SUSPECT_PHASE.Begun : SUSPECT_PHASE.Running;
 		return {fingerprint: name, phase: ranMs < 0 ? SUSPECT_PHASE.Unanswered : begun};
 	}
 }
--- a/packages/quarantine/tests/judgement.steps.ts
+++ b/packages/quarantine/tests/judgement.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {CrashModel} from './crash-model.js';
+import {CrashSimulation} from './crash-simulation.js';
 import {
 	type CrashLedger,
 	type CrashWatch,
@@ -17,134 +17,134 @@
 	newCrashWatch,
 } from '@valelead/quarantine';
 
-type GuiltyCrash = {
+type RequestCrash = {
 	readonly at: number;
 	readonly sentAt: number;
 };
 
-type JudgementWorld = {
-	judged: CrashModel[];
-	unjudged: CrashModel[];
+type QuarantineWorld = {
+	quarantining: CrashSimulation[];
+	unprotected: CrashSimulation[];
 	ledger: CrashLedger | undefined;
 	watch: CrashWatch;
 	replaced: string[];
 };
 
-const TELLING_CRASHES = 3;
+const DECISIVE_CRASHES = 3;
 const LATE_MS = 1500;
 const ADDRESS = '10.0.0.1:80';
 
 const split = (text: string): string[] => text.split(', ');
 
 /** Crashes under tries that were sent later than half of the time in which all gateways must know. */
-const getLateCrashes = (crashes: readonly GuiltyCrash[]): number => {
-	const toldAt = crashes[TELLING_CRASHES - 1]?.at ?? Number.POSITIVE_INFINITY;
-	return crashes.filter(({sentAt}) => sentAt > toldAt + LATE_MS).length;
+const getLateCrashes = (crashes: readonly RequestCrash[]): number => {
+	const decidedAt = crashes[DECISIVE_CRASHES - 1]?.at ?? Number.POSITIVE_INFINITY;
+	return crashes.filter(({sentAt}) => sentAt > decidedAt + LATE_MS).length;
 };
 
-const play = (guilty: number, from: number, to: number, isJudged: boolean): CrashModel[] => Array.from({length: to - from + 1}, (_, index) => {
-	const model = new CrashModel({seed: from + index, guilty, isJudged});
-	model.play();
+const simulateSeeds = (guilty: number, from: number, to: number, isJudged: boolean): CrashSimulation[] => Array.from({length: to - from + 1}, (_, index) => {
+	const model = new CrashSimulation({seed: from + index, crashingCount: guilty, isQuarantineEnabled: isJudged});
+	model.simulate();
 	return model;
 });
 
-When('{int} guilty requests come again for 40 seconds under seeds {int} to {int}', {timeout: 120_000}, function (this: JudgementWorld, guilty: number, from: number, to: number) {
-	this.judged = play(guilty, from, to, true);
-	this.unjudged = play(guilty, from, from + 4, false);
+When('{int} guilty requests come again for 40 seconds under seeds {int} to {int}', {timeout: 120_000}, function (this: QuarantineWorld, guilty: number, from: number, to: number) {
+	this.quarantining = simulateSeeds(guilty, from, to, true);
+	this.unprotected = simulateSeeds(guilty, from, from + 4, false);
 });
 
-Then('no innocent request is quarantined', function (this: JudgementWorld) {
-	assert.deepEqual(this.judged.flatMap(model => [...model.quarantined].filter(name => name.startsWith('innocent'))), []);
+Then('no innocent request is quarantined', function (this: QuarantineWorld) {
+	assert.deepEqual(this.quarantining.flatMap(model => [...model.quarantined].filter(name => name.startsWith('innocent'))), []);
 });
 
-Then('at most {int} engines crash under tries that were sent later than 1.5 s after three crashes under that request', function (this: JudgementWorld, most: number) {
-	const late = this.judged.flatMap(model => [...model.crashes.values()].map(crashes => getLateCrashes(crashes)));
+Then('at most {int} engines crash under tries that were sent later than 1.5 s after three crashes under that request', function (this: QuarantineWorld, most: number) {
+	const late = this.quarantining.flatMap(model => [...model.crashes.values()].map(crashes => getLateCrashes(crashes)));
 	assert.ok(Math.max(...late) <= most, `${Math.max(...late)}`);
 });
 
-Then('each guilty request crashes {float} engines in the mean at most, and {int} at most', function (this: JudgementWorld, mean: number, most: number) {
-	const counts = this.judged.flatMap(model => [...model.crashes.values()].map(crashes => crashes.length));
+Then('each guilty request crashes {float} engines in the mean at most, and {int} at most', function (this: QuarantineWorld, mean: number, most: number) {
+	const counts = this.quarantining.flatMap(model => [...model.crashes.values()].map(crashes => crashes.length));
 	const found = counts.reduce((sum, count) => sum + count, 0) / counts.length;
 	assert.ok(found <= mean, `${found} in the mean`);
 	assert.ok(Math.max(...counts) <= most, `${Math.max(...counts)} at most`);
 });
 
-const getServedShare = (models: readonly CrashModel[]): number =>
+const getServedShare = (models: readonly CrashSimulation[]): number =>
 	models.reduce((sum, model) => sum + model.served, 0) / models.reduce((sum, model) => sum + model.arrived, 0);
 
-Then('at least {float} of the innocent requests are served, and at most {float} without judgement', function (this: JudgementWorld, share: number, without: number) {
-	assert.ok(getServedShare(this.judged) >= share, `${getServedShare(this.judged)}`);
-	assert.ok(getServedShare(this.unjudged) <= without, `${getServedShare(this.unjudged)}`);
+Then('at least {float} of the innocent requests are served, and at most {float} without judgement', function (this: QuarantineWorld, share: number, without: number) {
+	assert.ok(getServedShare(this.quarantining) >= share, `${getServedShare(this.quarantining)}`);
+	assert.ok(getServedShare(this.unprotected) <= without, `${getServedShare(this.unprotected)}`);
 });
 
-const crash = (world: JudgementWorld, runId: string, names: readonly string[]): void => {
+const recordCrash = (world: QuarantineWorld, runId: string, names: readonly string[]): void => {
 	world.ledger ??= newCrashLedger();
 	mutateCrash(world.ledger, {runId, suspects: names.map(fingerprint => ({fingerprint, phase: SUSPECT_PHASE.Begun}))}, 0);
 	mutateQuarantined(world.ledger, names);
 };
 
-Given('crashes of runs {string} under requests {string}', function (this: JudgementWorld, runs: string, names: string) {
+Given('crashes of runs {string} under requests {string}', function (this: QuarantineWorld, runs: string, names: string) {
 	for (const runId of split(runs)) {
-		crash(this, runId, split(names));
+		recordCrash(this, runId, split(names));
 	}
 });
 
-Given('a crash of run {string} under request {string}', function (this: JudgementWorld, runId: string, name: string) {
+Given('a crash of run {string} under request {string}', function (this: QuarantineWorld, runId: string, name: string) {
 	// More is known of one crash than of another that was shared, so this one is not judged at once.
 	mutateCrash(this.ledger!, {runId, suspects: [{fingerprint: name, phase: SUSPECT_PHASE.Begun}]}, 0);
 });
 
-Given('a request {string} that was answered whole', function (this: JudgementWorld, name: string) {
+Given('a request {string} that was answered whole', function (this: QuarantineWorld, name: string) {
 	this.ledger = newCrashLedger();
 	mutateServed(this.ledger, name, 0);
 });
 
-When('an upstream answers {string} whole', function (this: JudgementWorld, name: string) {
+When('an upstream answers {string} whole', function (this: QuarantineWorld, name: string) {
 	mutateServed(this.ledger!, name, 0);
 });
 
-When('{string} is released by an operator', function (this: JudgementWorld, name: string) {
+When('{string} is released by an operator', function (this: QuarantineWorld, name: string) {
 	mutateReleased(this.ledger!, name, false);
 });
 
-When('the quarantine of {string} ends by time', function (this: JudgementWorld, name: string) {
+When('the quarantine of {string} ends by time', function (this: QuarantineWorld, name: string) {
 	mutateReleased(this.ledger!, name, true);
 	assert.equal(this.ledger!.quarantined.has(name), false);
 });
 
-Then('{string} is blamed for {int} crash(es) and {string} for {int}', function (this: JudgementWorld, first: string, blame: number, second: string, otherBlame: number) {
+Then('{string} is blamed for {int} crash(es) and {string} for {int}', function (this: QuarantineWorld, first: string, blame: number, second: string, otherBlame: number) {
 	assert.equal(getBlame(this.ledger!, first), blame);
 	assert.equal(getBlame(this.ledger!, second), otherBlame);
 });
 
-Then('{string} is quarantined', function (this: JudgementWorld, name: string) {
+Then('{string} is quarantined', function (this: QuarantineWorld, name: string) {
 	mutateQuarantined(this.ledger!, [name]);
 	assert.ok(this.ledger!.quarantined.has(name));
 });
 
-Then('{string} is not quarantined', function (this: JudgementWorld, name: string) {
+Then('{string} is not quarantined', function (this: QuarantineWorld, name: string) {
 	mutateQuarantined(this.ledger!, [name]);
 	assert.equal(this.ledger!.quarantined.has(name), false);
 });
 
-When('a connection to run {string} breaks under request {string}', function (this: JudgementWorld, runId: string, fingerprint: string) {
+When('a connection to run {string} breaks under request {string}', function (this: QuarantineWorld, runId: string, fingerprint: string) {
 	this.watch = newCrashWatch();
 	mutateBroken(this.watch, {runId, address: ADDRESS, suspect: {fingerprint, phase: SUSPECT_PHASE.Running}}, 0);
 });
 
-When('another run announces itself at another address', function (this: JudgementWorld) {
+When('another run announces itself at another address', function (this: QuarantineWorld) {
 	this.replaced = getReplacedRuns(this.watch, [{id: 'a', address: ADDRESS}, {id: 'z', address: '10.0.0.2:80'}]);
 });
 
-When('another run announces itself at the address of {string}', function (this: JudgementWorld, _runId: string) {
+When('another run announces itself at the address of {string}', function (this: QuarantineWorld, _runId: string) {
 	this.replaced = getReplacedRuns(this.watch, [{id: 'z', address: ADDRESS}]);
 });
 
-Then('no run has crashed', function (this: JudgementWorld) {
+Then('no run has crashed', function (this: QuarantineWorld) {
 	assert.deepEqual(this.replaced, []);
 });
 
-Then('run {string} has crashed under {string}', function (this: JudgementWorld, runId: string, fingerprint: string) {
+Then('run {string} has crashed under {string}', function (this: QuarantineWorld, runId: string, fingerprint: string) {
 	assert.deepEqual(this.replaced, [runId]);
 	const run = mutateCrashed(this.watch, runId)!;
 	assert.deepEqual([...run.suspects.keys()], [fingerprint]);
--- a/packages/quota/src/get-filled-level.ts
+++ /dev/null
@@ -1,6 +0,0 @@
-import type {SubjectAccount} from './subject-account.js';
-
-const MS_PER_SECOND = 1000;
-
-/** What a subject's bucket would hold now if it had no brim. */
-export const getFilledLevel = ({quota, level, levelAt}: SubjectAccount, now: number): number => level + (quota.perSecond * (now - levelAt) / MS_PER_SECOND);
--- a/packages/quota/src/get-subject-stock.ts
+++ b/packages/quota/src/get-subject-stock.ts
@@ -1,11 +1,11 @@
-import type {StockBook} from './stock-book.js';
+import type {SessionStock} from './session-stock.js';
 import type {SubjectStock} from './subject-stock.js';
 
 /** A subject's part of a book, made when it is first asked for. */
-export const getSubjectStock = ({subjects}: StockBook, subject: string): SubjectStock => {
-	const known = subjects.get(subject);
-	if (known) {
-		return known;
+export const getSubjectStock = ({subjects}: SessionStock, subject: string): SubjectStock => {
+	const existing = subjects.get(subject);
+	if (existing) {
+		return existing;
 	}
 
 	const stock: SubjectStock = {
--- a/packages/quota/src/get-wanted-stock.ts
+++ b/packages/quota/src/get-target-stock.ts
@@ -1,11 +1,11 @@
-import {DEMAND_FADE_MS} from './demand-fade-ms.js';
+import {DEMAND_DECAY_MS} from './demand-decay-ms.js';
 import type {QuotaStock} from './quota-stock.js';
 
 /** What is asked for in this time is kept in hand, in milliseconds: some reports to the leader, and most of the time without one. */
-const STOCK_MS = 1500;
+const STOCK_HORIZON_MS = 1500;
 
 /** The units of a subject that a process wants in hand: what it expects to be asked for, and at least a request of usual size; nothing where the subject is scarce. */
-export const getWantedStock = ({scarce, demands, meanCost}: QuotaStock, subject: string, now: number): number => {
+export const getTargetStock = ({scarce, demands, meanCost}: QuotaStock, subject: string, now: number): number => {
 	if (scarce.has(subject)) {
 		return 0;
 	}
@@ -15,6 +15,6 @@
 		return meanCost;
 	}
 
-	const perMs = demand.amount * Math.exp((demand.at - now) / DEMAND_FADE_MS) / DEMAND_FADE_MS;
-	return Math.max(meanCost, perMs * STOCK_MS);
+	const perMs = demand.amount * Math.exp((demand.at - now) / DEMAND_DECAY_MS) / DEMAND_DECAY_MS;
+	return Math.max(meanCost, perMs * STOCK_HORIZON_MS);
 };
--- /dev/null
+++ b/packages/quota/src/get-uncapped-level.ts
@@ -0,0 +1,6 @@
+import type {SubjectAccount} from './subject-account.js';
+
+const MS_PER_SECOND = 1000;
+
+/** What a subject's bucket would hold now if it had no brim. */
+export const getUncappedLevel = ({quota, level, levelAt}: SubjectAccount, now: number): number => level + (quota.perSecond * (now - levelAt) / MS_PER_SECOND);
--- a/packages/quota/src/limit-book.ts
+++ b/packages/quota/src/limit-book.ts
@@ -1,5 +1,5 @@
 /** A limit that an upstream has named. */
-type NamedLimit = {
+type AnnouncedLimit = {
 	/** Requests a second from all processes together. */
 	readonly perSecond: number;
 	/** When an answer named it last, in monotonic milliseconds. */
@@ -7,4 +7,4 @@
 };
 
 /** The limits that upstreams have named, by run of the upstream. */
-export type LimitBook = Map<string, NamedLimit>;
+export type LimitBook = Map<string, AnnouncedLimit>;
--- a/packages/quota/src/mutate-borrowed.ts
+++ b/packages/quota/src/mutate-borrowed.ts
@@ -1,11 +1,11 @@
 import {getSubjectStock} from './get-subject-stock.js';
 import {mutateSession} from './mutate-session.js';
-import {newLapsedBook} from './new-lapsed-book.js';
+import {newExpiredStock} from './new-expired-stock.js';
 import type {Loan} from './loan.js';
 import type {QuotaStock} from './quota-stock.js';
 
 /** What a leader tells a borrower: its loans, its term, and until when all of its loans are valid by the borrower's clock. */
-type Grant = {
+type LoanGrant = {
 	readonly term: number;
 	readonly loans: ReadonlyArray<Pick<Loan, 'subject' | 'amount'>>;
 	readonly validUntil: number;
@@ -13,11 +13,11 @@
 };
 
 /** Takes loans, which confirm those of the same leadership that have not ended. */
-export const mutateBorrowed = (stock: QuotaStock, {term, loans, validUntil, scarceSubjects}: Grant, now: number): void => {
+export const mutateBorrowed = (stock: QuotaStock, {term, loans, validUntil, scarceSubjects}: LoanGrant, now: number): void => {
 	if (stock.current.term !== term) {
 		mutateSession(stock, term);
 	} else if (now >= stock.current.validUntil) {
-		stock.current = newLapsedBook(stock.current);
+		stock.current = newExpiredStock(stock.current);
 	}
 
 	stock.current.validUntil = Math.max(stock.current.validUntil, validUntil);
--- a/packages/quota/src/mutate-demand.ts
+++ b/packages/quota/src/mutate-demand.ts
@@ -1,14 +1,14 @@
-import {DEMAND_FADE_MS} from './demand-fade-ms.js';
+import {DEMAND_DECAY_MS} from './demand-decay-ms.js';
 import type {QuotaStock} from './quota-stock.js';
 
 /** Weight of the newest request in the average of what requests count. */
-const NEWEST_SHARE = 0.1;
+const NEWEST_REQUEST_WEIGHT = 0.1;
 
 /** Takes that a subject asks for a request. */
 export const mutateDemand = (stock: QuotaStock, subject: string, cost: number, now: number): void => {
 	const demand = stock.demands.get(subject) ?? {amount: 0, at: now};
-	demand.amount = (demand.amount * Math.exp((demand.at - now) / DEMAND_FADE_MS)) + cost;
+	demand.amount = (demand.amount * Math.exp((demand.at - now) / DEMAND_DECAY_MS)) + cost;
 	demand.at = now;
 	stock.demands.set(subject, demand);
-	stock.meanCost += (cost - stock.meanCost) * (stock.meanCost === 0 ? 1 : NEWEST_SHARE);
+	stock.meanCost += (cost - stock.meanCost) * (stock.meanCost === 0 ? 1 : NEWEST_REQUEST_WEIGHT);
 };
--- a/packages/quota/src/mutate-ended.ts
+++ b/packages/quota/src/mutate-ended-loan.ts
@@ -1,4 +1,4 @@
-import {mutateLevel} from './mutate-level.js';
+import {mutateBucketLevel} from './mutate-bucket-level.js';
 import type {QuotaLedger} from './quota-ledger.js';
 import type {SubjectAccount} from './subject-account.js';
 
@@ -9,8 +9,8 @@
 };
 
 /** Takes units of a subject out of what is lent, and those that were used out of its bucket. */
-export const mutateEnded = (ledger: QuotaLedger, account: SubjectAccount, {lent, used}: EndedUnits, now: number): void => {
-	mutateLevel(ledger, account, now);
+export const mutateEndedLoan = (ledger: QuotaLedger, account: SubjectAccount, {lent, used}: EndedUnits, now: number): void => {
+	mutateBucketLevel(ledger, account, now);
 	account.lent -= lent;
 	account.level = Math.max(0, account.level - used);
 };
--- a/packages/quota/src/mutate-loan.ts
+++ b/packages/quota/src/mutate-loan.ts
@@ -1,7 +1,7 @@
-import {getBrimNow} from './get-brim-now.js';
-import {LENT_SHARE} from './lent-share.js';
+import {getCurrentBucketCapacity} from './get-current-bucket-capacity.js';
+import {MAX_LENT_SHARE} from './max-lent-share.js';
 import {isScarce} from './is-scarce.js';
-import {mutateLevel} from './mutate-level.js';
+import {mutateBucketLevel} from './mutate-bucket-level.js';
 import {QUOTA_UNIT} from './quota-unit.js';
 import type {Loan} from './loan.js';
 import type {Quota} from './quota.js';
@@ -12,7 +12,7 @@
 const MS_PER_SECOND = 1000;
 
 /** The part of a bucket that is kept for requests that wait, wherever they come; only the rest is lent for requests to come. */
-const KEPT_SHARE = 0.35;
+const WAITING_RESERVE_SHARE = 0.35;
 
 /** The units that serve the first of the needs, as far as they go; what is left over would serve nobody here. */
 const getServedNeeds = (needs: readonly number[], free: number): {readonly amount: number; readonly missing: number | undefined} => {
@@ -29,19 +29,19 @@
 };
 
 /** What is lent for requests to come. A part of a request would serve nobody. */
-const getStock = ({unit}: Quota, amount: number): number => unit === QUOTA_UNIT.Request ? Math.floor(amount) : amount;
+const getLendableUnits = ({unit}: Quota, amount: number): number => unit === QUOTA_UNIT.Request ? Math.floor(amount) : amount;
 
 const getLoan = (ledger: QuotaLedger, account: SubjectAccount, {subject, wanted, needs}: SubjectUsage, now: number): Loan => {
 	const {quota, level, lent} = account;
-	const brim = getBrimNow(ledger, quota, now);
-	const free = Math.max(0, Math.min(level, brim * LENT_SHARE) - lent);
+	const capacity = getCurrentBucketCapacity(ledger, quota, now);
+	const free = Math.max(0, Math.min(level, capacity * MAX_LENT_SHARE) - lent);
 	const {amount, missing} = getServedNeeds(needs, free);
 	if (missing !== undefined) {
 		return {subject, amount, waitMs: Math.ceil((amount + missing - free) * MS_PER_SECOND / quota.perSecond)};
 	}
 
-	const spare = isScarce(ledger, account, now) ? 0 : Math.max(0, free - amount - (brim * KEPT_SHARE));
-	return {subject, amount: amount + getStock(quota, Math.min(wanted, spare)), waitMs: 0};
+	const surplus = isScarce(ledger, account, now) ? 0 : Math.max(0, free - amount - (capacity * WAITING_RESERVE_SHARE));
+	return {subject, amount: amount + getLendableUnits(quota, Math.min(wanted, surplus)), waitMs: 0};
 };
 
 /** Lends a borrower what it asks for, as far as there is enough; undefined where it asks for nothing or the subject has no quota. */
@@ -51,7 +51,7 @@
 		return undefined;
 	}
 
-	mutateLevel(ledger, account, now);
+	mutateBucketLevel(ledger, account, now);
 	const loan = getLoan(ledger, account, usage, now);
 	const borrower = ledger.borrowers.get(borrowerId) ?? {amounts: new Map<string, number>(), expiresAt: now};
 	ledger.borrowers.set(borrowerId, borrower);
--- a/packages/quota/src/mutate-lost-loans.ts
+++ b/packages/quota/src/mutate-lost-loans.ts
@@ -1,4 +1,4 @@
-import {mutateEnded} from './mutate-ended.js';
+import {mutateEndedLoan} from './mutate-ended-loan.js';
 import type {QuotaLedger} from './quota-ledger.js';
 
 /** Counts as used what silent borrowers held, once they cannot use it any more. */
@@ -12,7 +12,7 @@
 		for (const [subject, amount] of amounts) {
 			const account = ledger.accounts.get(subject);
 			if (account) {
-				mutateEnded(ledger, account, {lent: amount, used: amount}, now);
+				mutateEndedLoan(ledger, account, {lent: amount, used: amount}, now);
 			}
 		}
 	}
--- a/packages/quota/src/mutate-quotas.ts
+++ b/packages/quota/src/mutate-quotas.ts
@@ -1,4 +1,4 @@
-import {mutateLevel} from './mutate-level.js';
+import {mutateBucketLevel} from './mutate-bucket-level.js';
 import type {Quota} from './quota.js';
 import type {QuotaLedger} from './quota-ledger.js';
 
@@ -11,9 +11,9 @@
 		return;
 	}
 
-	mutateLevel(ledger, account, now);
+	mutateBucketLevel(ledger, account, now);
 	account.quota = quota;
-	mutateLevel(ledger, account, now);
+	mutateBucketLevel(ledger, account, now);
 };
 
 /** Takes the quotas in force. What is lent stays lent, also of a subject that has no quota any more. */
--- a/packages/quota/src/mutate-session.ts
+++ b/packages/quota/src/mutate-session.ts
@@ -1,4 +1,4 @@
-import {newStockBook} from './new-stock-book.js';
+import {newSessionStock} from './new-session-stock.js';
 import type {QuotaStock} from './quota-stock.js';
 
 const isEmpty = (stock: QuotaStock): boolean => [...stock.current.subjects.values()].every(({free}) => free === 0);
@@ -9,5 +9,5 @@
 		stock.previous = stock.current;
 	}
 
-	stock.current = newStockBook(term);
+	stock.current = newSessionStock(term);
 };
--- a/packages/quota/src/mutate-usage.ts
+++ b/packages/quota/src/mutate-usage.ts
@@ -1,4 +1,4 @@
-import {mutateEnded} from './mutate-ended.js';
+import {mutateEndedLoan} from './mutate-ended-loan.js';
 import type {QuotaLedger} from './quota-ledger.js';
 import type {SubjectUsage} from './subject-usage.js';
 
@@ -14,5 +14,5 @@
 	const usedNow = Math.min(used, held);
 	const endedNow = Math.min(usedNow + returned, held);
 	borrower.amounts.set(subject, held - endedNow);
-	mutateEnded(ledger, account, {lent: endedNow, used: usedNow}, now);
+	mutateEndedLoan(ledger, account, {lent: endedNow, used: usedNow}, now);
 };
--- a/packages/quota/src/new-quota-stock.ts
+++ b/packages/quota/src/new-quota-stock.ts
@@ -1,7 +1,7 @@
-import {newStockBook} from './new-stock-book.js';
+import {newSessionStock} from './new-session-stock.js';
 import type {QuotaStock} from './quota-stock.js';
 
 /** The stock of a process that has just started. */
 export const newQuotaStock = (): QuotaStock => ({
-	current: newStockBook(), previous: newStockBook(), scarce: new Set(), demands: new Map(), meanCost: 0,
+	current: newSessionStock(), previous: newSessionStock(), scarce: new Set(), demands: new Map(), meanCost: 0,
 });
--- a/packages/quota/src/stock-book.ts
+++ b/packages/quota/src/session-stock.ts
@@ -1,7 +1,7 @@
 import type {SubjectStock} from './subject-stock.js';
 
 /** What a process has borrowed in one session with one leader. */
-export type StockBook = {
+export type SessionStock = {
 	/** The leadership that lent it; -1 before the first loan. */
 	term: number;
 	readonly subjects: Map<string, SubjectStock>;
--- a/packages/quota/tests/model-quotas.ts
+++ b/packages/quota/tests/quota-model.ts
@@ -9,11 +9,11 @@
 	session: number;
 	/** What the leader answered and has not arrived yet. */
 	pending: {readonly term: number; readonly loans: readonly Loan[]; readonly reportedAt: number; readonly scarceSubjects: readonly string[]} | undefined;
-	readonly held: HeldUnits[];
+	readonly held: HeldReservation[];
 	needs: number[];
 };
 
-type HeldUnits = {
+type HeldReservation = {
 	readonly reservation: Reservation;
 	readonly use: Use;
 };
@@ -28,7 +28,7 @@
 const TEAM = 'team';
 
 /** Gateways, one team and one leader after the other, without a network. Times in milliseconds. */
-export class ModelQuotas {
+export class QuotaModel {
 	now = 0;
 	readonly uses: Use[] = [];
 	readonly gateways: ModelGateway[];
@@ -49,7 +49,7 @@
 	}
 
 	/** Lets time pass, with the leader's own checks. */
-	pass(ms: number): void {
+	advance(ms: number): void {
 		this.now += ms;
 		mutateLostLoans(this.#ledger, this.now);
 	}
@@ -73,7 +73,7 @@
 		return true;
 	}
 
-	noteDemand(index: number, cost: number): void {
+	recordDemand(index: number, cost: number): void {
 		mutateDemand(this.gateways[index].stock, TEAM, cost, this.now);
 	}
 
@@ -133,7 +133,7 @@
 	}
 
 	/** Another voter leads; it knows nothing of what was lent. */
-	lead(): void {
+	changeLeader(): void {
 		this.#term += 1;
 		this.#ledger = this.#newLedger();
 		for (const index of this.gateways.keys()) {
@@ -142,7 +142,7 @@
 	}
 
 	/** The most that ran of what arrived in a span of this length. */
-	getMostUsed(spanMs: number): number {
+	getMaxUsed(spanMs: number): number {
 		const uses = this.uses.filter(({isReleased}) => !isReleased);
 		return Math.max(0, ...uses.map(first => uses.reduce((sum, {at, cost}) => sum + (at >= first.at && at < first.at + spanMs ? cost : 0), 0)));
 	}
--- a/packages/quota/tests/quota.steps.ts
+++ b/packages/quota/tests/quota.steps.ts
@@ -2,10 +2,10 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
-import {ModelQuotas} from './model-quotas.js';
+import {QuotaModel} from './quota-model.js';
 import {MODEL_STEP} from './model-step.js';
-import {playHistory} from './play-history.js';
-import {playTraffic} from './play-traffic.js';
+import {replayHistory} from './replay-history.js';
+import {simulateTraffic} from './simulate-traffic.js';
 import {
 	type Loan, type Quota, type QuotaTolerance, LOAN_MS, QUOTA_UNIT,
 } from '@valelead/quota';
@@ -13,10 +13,10 @@
 type QuotaWorld = {
 	quota: Quota;
 	tolerance: QuotaTolerance;
-	model: ModelQuotas;
+	model: QuotaModel;
 	loan: Loan | undefined;
-	models: ModelQuotas[];
-	counts: Array<ReturnType<typeof playTraffic>>;
+	models: QuotaModel[];
+	counts: Array<ReturnType<typeof simulateTraffic>>;
 };
 
 const TEAM = 'team';
@@ -35,13 +35,13 @@
 const LEADERLESS_FROM_MS = 15_000;
 
 /** Loans at a time while borrowing all that there is. */
-const GRAB_MS = 100;
+const BORROW_INTERVAL_MS = 100;
 
 /** Units of the most urgent kind are whole; sums of fractions are not. */
 const ROUNDING = 0.5;
 
 /** What a quota allows in a span, and beyond it. */
-const getMostInSpan = ({perSecond, burst}: Quota, {windowMs, overshoot, slack}: QuotaTolerance): number =>
+const getMaxInWindow = ({perSecond, burst}: Quota, {windowMs, overshoot, slack}: QuotaTolerance): number =>
 	((burst + (perSecond * windowMs / MS_PER_SECOND)) * (1 + overshoot)) + slack;
 
 const newQuota = (perSecond: number, burst: number): Quota => ({
@@ -61,12 +61,12 @@
 });
 
 Given('{int} gateways and a leader that has led for {int} ms', function (this: QuotaWorld, count: number, ms: number) {
-	this.model = new ModelQuotas(count, this.quota, this.tolerance);
-	this.model.pass(ms);
+	this.model = new QuotaModel(count, this.quota, this.tolerance);
+	this.model.advance(ms);
 });
 
 When('gateway {int} expects requests of {int} units', function (this: QuotaWorld, gateway: number, cost: number) {
-	this.model.noteDemand(gateway - 1, cost);
+	this.model.recordDemand(gateway - 1, cost);
 });
 
 When('gateway {int} asks for {string} units', function (this: QuotaWorld, gateway: number, text: string) {
@@ -90,11 +90,11 @@
 });
 
 When('another leader begins', function (this: QuotaWorld) {
-	this.model.lead();
+	this.model.changeLeader();
 });
 
 When('{int} ms go by', function (this: QuotaWorld, ms: number) {
-	this.model.pass(ms);
+	this.model.advance(ms);
 });
 
 When('the quota is lowered to {int} units a second with a burst of {int}', function (this: QuotaWorld, perSecond: number, burst: number) {
@@ -121,46 +121,46 @@
 Then('no more than the lower quota and its tolerance can be borrowed in a span', function (this: QuotaWorld) {
 	const {model, tolerance} = this;
 	let borrowed = 0;
-	for (let at = 0; at < tolerance.windowMs; at += GRAB_MS) {
+	for (let at = 0; at < tolerance.windowMs; at += BORROW_INTERVAL_MS) {
 		const amount = model.exchange(0, Array.from({length: 200}, () => 1))?.amount ?? 0;
 		assert.ok(amount === 0 || model.serve(0, amount));
 		model.settle(0, true);
 		borrowed += amount;
-		model.pass(GRAB_MS);
+		model.advance(BORROW_INTERVAL_MS);
 	}
 
-	const most = getMostInSpan(model.quota, tolerance);
+	const most = getMaxInWindow(model.quota, tolerance);
 	assert.ok(borrowed <= most, `${borrowed} of ${most}`);
 });
 
 Then('in {int} random histories no span holds more than the quota and its tolerance', {timeout: 60_000}, function (this: QuotaWorld, runs: number) {
 	const {quota, tolerance} = this;
-	const most = getMostInSpan(quota, tolerance);
+	const most = getMaxInWindow(quota, tolerance);
 	fc.assert(fc.property(fc.array(MODEL_STEP, {minLength: 10, maxLength: HISTORY_STEPS, size: 'max'}), steps => {
-		const model = new ModelQuotas(4, quota, tolerance);
-		playHistory(model, steps);
-		assert.ok(model.getMostUsed(tolerance.windowMs) <= most + ROUNDING);
+		const model = new QuotaModel(4, quota, tolerance);
+		replayHistory(model, steps);
+		assert.ok(model.getMaxUsed(tolerance.windowMs) <= most + ROUNDING);
 	}), {numRuns: runs, seed: SEED});
 });
 
-const playSmallTeam = (world: QuotaWorld, terms: {readonly share: number; readonly gateways: number; readonly clump: number; readonly leaderlessMs: number}): void => {
+const simulateSmallTeam = (world: QuotaWorld, terms: {readonly share: number; readonly gateways: number; readonly clump: number; readonly leaderlessMs: number}): void => {
 	const {share, gateways, clump, leaderlessMs} = terms;
-	world.models = Array.from({length: TRAFFIC_RUNS}, () => new ModelQuotas(gateways, SMALL_QUOTA, SMALL_TOLERANCE));
+	world.models = Array.from({length: TRAFFIC_RUNS}, () => new QuotaModel(gateways, SMALL_QUOTA, SMALL_TOLERANCE));
 	world.counts = world.models.map((model, run) => {
-		model.pass(TRAFFIC_MS);
-		return playTraffic(model, {
+		model.advance(TRAFFIC_MS);
+		return simulateTraffic(model, {
 			random: xoroshiro128plus(SEED + run),
 			perSecond: share * SMALL_QUOTA.perSecond / COST,
 			cost: COST,
-			clump,
-			lengthMs: TRAFFIC_MS,
-			leaderless: {from: LEADERLESS_FROM_MS, forMs: leaderlessMs},
+			batchSize: clump,
+			durationMs: TRAFFIC_MS,
+			leaderless: {from: LEADERLESS_FROM_MS, durationMs: leaderlessMs},
 		});
 	});
 };
 
 When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways', function (this: QuotaWorld, share: number, clump: number, gateways: number) {
-	playSmallTeam(this, {
+	simulateSmallTeam(this, {
 		share, gateways, clump, leaderlessMs: 0,
 	});
 });
@@ -172,7 +172,7 @@
 	gateways: number,
 	leaderlessMs: number,
 ) {
-	playSmallTeam(this, {
+	simulateSmallTeam(this, {
 		share, gateways, clump, leaderlessMs,
 	});
 });
@@ -188,7 +188,7 @@
 	for (const model of this.models) {
 		const used = model.uses.reduce((sum, {cost}) => sum + cost, 0);
 		assert.ok(used >= SMALL_QUOTA.perSecond * TRAFFIC_MS / MS_PER_SECOND, `${used}`);
-		assert.ok(model.getMostUsed(SMALL_TOLERANCE.windowMs) <= getMostInSpan(SMALL_QUOTA, SMALL_TOLERANCE));
+		assert.ok(model.getMaxUsed(SMALL_TOLERANCE.windowMs) <= getMaxInWindow(SMALL_QUOTA, SMALL_TOLERANCE));
 	}
 });
 
@@ -206,7 +206,7 @@
 const LIMIT_OVERSHOOT = 1.5;
 const LIMIT_SLACK = 5;
 
-const getMostAtLimit = ({perSecond}: Quota): number => (LIMIT_OVERSHOOT * perSecond * LIMIT_TOLERANCE.windowMs / MS_PER_SECOND) + LIMIT_SLACK;
+const getMaxAtLimit = ({perSecond}: Quota): number => (LIMIT_OVERSHOOT * perSecond * LIMIT_TOLERANCE.windowMs / MS_PER_SECOND) + LIMIT_SLACK;
 
 Given('an upstream that takes {float} requests a second, lent out as limits are', function (this: QuotaWorld, perSecond: number) {
 	this.quota = {
@@ -223,22 +223,22 @@
 ) {
 	const {quota, tolerance} = this;
 	fc.assert(fc.property(fc.array(MODEL_STEP, {minLength: 10, maxLength: HISTORY_STEPS, size: 'max'}), steps => {
-		const model = new ModelQuotas(gateways, quota, tolerance);
+		const model = new QuotaModel(gateways, quota, tolerance);
 		// A request counts as one, whatever its tokens.
-		playHistory(model, steps.map(step => 'costs' in step ? {...step, costs: step.costs.map(() => 1)} : step));
-		assert.ok(model.getMostUsed(spanMs) <= getMostAtLimit(quota));
+		replayHistory(model, steps.map(step => 'costs' in step ? {...step, costs: step.costs.map(() => 1)} : step));
+		assert.ok(model.getMaxUsed(spanMs) <= getMaxAtLimit(quota));
 	}), {numRuns: runs, seed: SEED});
 });
 
 When('requests for {int} times of that come to {int} gateways, one by one', function (this: QuotaWorld, share: number, gateways: number) {
-	this.models = Array.from({length: TRAFFIC_RUNS}, () => new ModelQuotas(gateways, this.quota, this.tolerance));
-	this.counts = this.models.map((model, run) => playTraffic(model, {
+	this.models = Array.from({length: TRAFFIC_RUNS}, () => new QuotaModel(gateways, this.quota, this.tolerance));
+	this.counts = this.models.map((model, run) => simulateTraffic(model, {
 		random: xoroshiro128plus(SEED + run),
 		perSecond: share * this.quota.perSecond,
 		cost: 1,
-		clump: 1,
-		lengthMs: TRAFFIC_MS,
-		leaderless: {from: TRAFFIC_MS, forMs: 0},
+		batchSize: 1,
+		durationMs: TRAFFIC_MS,
+		leaderless: {from: TRAFFIC_MS, durationMs: 0},
 	}));
 });
 
@@ -248,6 +248,6 @@
 		// A leader begins with empty accounts, of which it lends a part until loans of the one before it have ended.
 		const used = model.uses.filter(({at}) => at >= LOAN_MS).length;
 		assert.ok(used >= least * taken, `${used} of ${taken}`);
-		assert.ok(model.getMostUsed(spanMs) <= getMostAtLimit(this.quota));
+		assert.ok(model.getMaxUsed(spanMs) <= getMaxAtLimit(this.quota));
 	}
 });
--- a/packages/quota/tests/play-history.ts
+++ b/packages/quota/tests/replay-history.ts
@@ -1,14 +1,14 @@
 import {assertNever} from '@valelead/common';
 import type * as fc from 'fast-check';
-import type {ModelQuotas} from './model-quotas.js';
+import type {QuotaModel} from './quota-model.js';
 import type {MODEL_STEP} from './model-step.js';
 
 type Step = typeof MODEL_STEP extends fc.Arbitrary<infer Value> ? Value : never;
 
-const playStep = (model: ModelQuotas, step: Step): void => {
+const applyStep = (model: QuotaModel, step: Step): void => {
 	switch (step.kind) {
 		case 'pass': {
-			model.pass(step.ms);
+			model.advance(step.ms);
 			break;
 		}
 
@@ -53,7 +53,7 @@
 		}
 
 		case 'lead': {
-			model.lead();
+			model.changeLeader();
 			break;
 		}
 
@@ -64,8 +64,8 @@
 };
 
 /** Plays a history of requests and of what is lost between gateways and leaders. */
-export const playHistory = (model: ModelQuotas, steps: readonly Step[]): void => {
+export const replayHistory = (model: QuotaModel, steps: readonly Step[]): void => {
 	for (const step of steps) {
-		playStep(model, step);
+		applyStep(model, step);
 	}
 };
--- a/packages/quota/tests/play-traffic.ts
+++ b/packages/quota/tests/simulate-traffic.ts
@@ -1,18 +1,18 @@
 import type {RandomGenerator} from 'pure-rand/types/RandomGenerator';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
-import type {ModelQuotas} from './model-quotas.js';
+import type {QuotaModel} from './quota-model.js';
 
-type TrafficTerms = {
+type TrafficOptions = {
 	readonly random: RandomGenerator;
 	/** Requests a second, and what each counts. */
 	readonly perSecond: number;
 	readonly cost: number;
 	/** Requests that come at the same moment, each to any gateway. */
-	readonly clump: number;
-	readonly lengthMs: number;
+	readonly batchSize: number;
+	readonly durationMs: number;
 	/** Without a leader from this time on, and for how long; the next one knows nothing. */
-	readonly leaderless: {readonly from: number; readonly forMs: number};
+	readonly leaderless: {readonly from: number; readonly durationMs: number};
 };
 
 type TrafficCounts = {
@@ -30,20 +30,20 @@
 /** One bucket for all gateways, which holds the burst and fills at the rate. */
 class ReferenceBucket {
 	readonly #perMs: number;
-	readonly #brim: number;
+	readonly #capacity: number;
 	#level: number;
 	#at: number;
 
-	constructor({perSecond, burst}: ModelQuotas['quota'], now: number) {
+	constructor({perSecond, burst}: QuotaModel['quota'], now: number) {
 		this.#perMs = perSecond / MS_PER_SECOND;
-		this.#brim = burst;
+		this.#capacity = burst;
 		this.#level = burst;
 		this.#at = now;
 	}
 
 	/** Whether a request would be let through; it is counted if so. */
 	take(now: number, cost: number): boolean {
-		this.#level = Math.min(this.#brim, this.#level + ((now - this.#at) * this.#perMs));
+		this.#level = Math.min(this.#capacity, this.#level + ((now - this.#at) * this.#perMs));
 		this.#at = now;
 		const isAllowed = this.#level >= cost;
 		this.#level -= isAllowed ? cost : 0;
@@ -51,11 +51,11 @@
 	}
 }
 
-const sendClump = (model: ModelQuotas, {random, cost, clump}: TrafficTerms, reference: ReferenceBucket, isLed: boolean, counts: TrafficCounts): void => {
+const sendBatch = (model: QuotaModel, {random, cost, batchSize: clump}: TrafficOptions, reference: ReferenceBucket, isLed: boolean, counts: TrafficCounts): void => {
 	for (let index = 0; index < clump; index += 1) {
 		const gateway = uniformInt(random, 0, model.gateways.length - 1);
 		const isAllowed = reference.take(model.now, cost);
-		model.noteDemand(gateway, cost);
+		model.recordDemand(gateway, cost);
 		let isServed = model.serve(gateway, cost);
 		if (!isServed && isLed) {
 			model.exchange(gateway, [cost]);
@@ -74,19 +74,19 @@
 };
 
 /** Requests of one team at random gateways, with the gateways' reports between them; each one runs as soon as it may. */
-export const playTraffic = (model: ModelQuotas, terms: TrafficTerms): TrafficCounts => {
+export const simulateTraffic = (model: QuotaModel, terms: TrafficOptions): TrafficCounts => {
 	const counts: TrafficCounts = {
 		sent: 0, refusedAllowed: 0, sentLeaderless: 0, refusedLeaderless: 0,
 	};
-	const {random, perSecond, clump, lengthMs, leaderless} = terms;
+	const {random, perSecond, batchSize: clump, durationMs: lengthMs, leaderless} = terms;
 	const share = perSecond * STEP_MS / MS_PER_SECOND / clump;
 	const begunAt = model.now;
 	const reference = new ReferenceBucket(model.quota, begunAt);
 	let wasLed = true;
 	for (let at = 0; at < lengthMs; at += STEP_MS) {
-		const isLed = at < leaderless.from || at >= leaderless.from + leaderless.forMs;
+		const isLed = at < leaderless.from || at >= leaderless.from + leaderless.durationMs;
 		if (isLed && !wasLed) {
-			model.lead();
+			model.changeLeader();
 		}
 
 		wasLed = isLed;
@@ -99,10 +99,10 @@
 
 		const clumps = Math.floor(share) + (uniformFloat64(random) < share % 1 ? 1 : 0);
 		for (let index = 0; index < clumps; index += 1) {
-			sendClump(model, terms, reference, isLed, counts);
+			sendBatch(model, terms, reference, isLed, counts);
 		}
 
-		model.pass(begunAt + at + STEP_MS - model.now);
+		model.advance(begunAt + at + STEP_MS - model.now);
 	}
 
 	return counts;
