--- a/packages/quarantine/src/begun-crashes.ts
+++ b/packages/quarantine/src/begun-crashes.ts
@@ -1,2 +1,5 @@
-/** Crashes at which a request had just begun that are enough to quarantine it, however many others shared them. */
+/**
+ * Number of crashes in phase `SUSPECT_PHASE.Begun` that suffice to quarantine a request, however many other requests were in progress at these
+ * crashes.
+ */
 export const BEGUN_CRASHES = 3;
--- a/packages/quarantine/src/crash-evidence.ts
+++ b/packages/quarantine/src/crash-evidence.ts
@@ -1,13 +1,15 @@
-/** One crash that a request is blamed for, as it is logged with a judgement. */
+/** One crash that counts against a request, as it is logged with a quarantine decision. */
 export type CrashEvidence = {
-	/** Names the run of the upstream. */
+	/** Id of the run of the upstream that crashed. */
 	readonly upstreamId: string;
-	/** Time since the crash was first heard of, in milliseconds. */
+	/** Time since the crash was first reported, in milliseconds. */
 	readonly ageMs: number;
-	/** How far the upstream had come with the request. */
+	/** Phase of the request when the upstream crashed, a value of `SUSPECT_PHASE`. */
 	readonly phase: string;
+	/** Part of the crash score of the request that comes from this crash. */
 	readonly blame: number;
-	/** The other requests in progress there, each with its phase; the first ones only. */
+	/** Fingerprint and phase of other requests in progress at the crash; truncated to the first few. */
 	readonly others: readonly string[];
+	/** Number of all other requests in progress at the crash. */
 	readonly otherCount: number;
 };
--- a/packages/quarantine/src/crash-ledger.ts
+++ b/packages/quarantine/src/crash-ledger.ts
@@ -1,15 +1,16 @@
 import type {CrashRecord} from './crash-record.js';
 import type {LastServedTimes} from './last-served-times.js';
 
-/** The crashes of the last while, and what they say of the requests that were in progress at them. */
+/** Recent crashes of upstreams, and the evidence that they give against the requests that were in progress at them. */
 export type CrashLedger = {
-	/** By run, oldest first. */
+	/** Crashes by run id, oldest first. */
 	readonly crashes: Map<string, CrashRecord>;
-	/** The runs that crashed under each request, by fingerprint. */
+	/** Ids of the runs that crashed while a request was in progress there, by fingerprint of the request. */
 	readonly runsBySuspect: Map<string, Set<string>>;
-	/** Fingerprints of requests that are not sent any more. */
+	/** Fingerprints of quarantined requests, which are not sent to any upstream. */
 	readonly quarantined: Set<string>;
-	/** Requests whose quarantine ended by time; one more crash brings it back. */
+	/** Fingerprints of requests whose quarantine expired; one more crash quarantines them again. */
 	readonly halfOpen: Set<string>;
+	/** Requests that were answered completely; recent ones are exempt from crash scores. */
 	readonly served: LastServedTimes;
 };
--- a/packages/quarantine/src/crash-record.ts
+++ b/packages/quarantine/src/crash-record.ts
@@ -1,11 +1,12 @@
 import type {Suspect} from './suspect.js';
 
-/** A crash as the ledger keeps it. */
+/** One crash of an upstream in the crash ledger. */
 export type CrashRecord = {
 	readonly runId: string;
-	/** When it was first heard of, in monotonic milliseconds. */
+	/** When the crash was first reported, in monotonic milliseconds. */
 	readonly at: number;
+	/** Requests that were in progress at the crash, by fingerprint. */
 	readonly suspects: Map<string, Suspect>;
-	/** Whether some gateways may not have told yet what was in progress there. */
+	/** True if some gateways may not have reported yet which requests they had in progress at the upstream. */
 	isPartial: boolean;
 };
--- a/packages/quarantine/src/crash-watch.ts
+++ b/packages/quarantine/src/crash-watch.ts
@@ -1,7 +1,10 @@
 import type {WatchedRun} from './watched-run.js';
 
-/** What one gateway makes of broken connections: an upstream that crashed, or a connection that broke alone. */
+/**
+ * A gateway's record of the upstream runs to which connections broke. The gateway watches these runs to tell a crash of the upstream from the
+ * loss of a single connection.
+ */
 export type CrashWatch = {
-	/** By run. */
+	/** Watched runs by run id. */
 	readonly runs: Map<string, WatchedRun>;
 };
--- a/packages/quarantine/src/crash.ts
+++ b/packages/quarantine/src/crash.ts
@@ -1,7 +1,8 @@
 import type {Suspect} from './suspect.js';
 
-/** One run of an upstream that ended without notice while it worked on requests. */
+/** A report that one run of an upstream ended without notice while requests were in progress. */
 export type Crash = {
 	readonly runId: string;
+	/** Requests that the reporting gateway had in progress at the upstream. */
 	readonly suspects: readonly Suspect[];
 };
--- a/packages/quarantine/src/get-begun-runs.ts
+++ b/packages/quarantine/src/get-begun-runs.ts
@@ -1,7 +1,10 @@
 import {SUSPECT_PHASE} from './suspect-phase.js';
 import type {CrashLedger} from './crash-ledger.js';
 
-/** The crashed runs at which a request had just begun; none where it ran for a while at some crash, as it did no harm there. */
+/**
+ * Returns the ids of the crashed runs at which a request was in phase `SUSPECT_PHASE.Begun`. Returns none if the request was in phase
+ * `SUSPECT_PHASE.Running` at any crash, because it ran there for some time without harm.
+ */
 export const getBegunRuns = (ledger: CrashLedger, fingerprint: string): string[] => {
 	const runs = [...ledger.runsBySuspect.get(fingerprint) ?? []];
 	const getPhase = (runId: string) => ledger.crashes.get(runId)!.suspects.get(fingerprint)!.phase;
--- a/packages/quarantine/src/get-begun-score.ts
+++ b/packages/quarantine/src/get-begun-score.ts
@@ -4,9 +4,10 @@
 import type {CrashLedger} from './crash-ledger.js';
 
 /**
- * The blame for a request that had just begun at every crash, though others always had as well. Guilty requests that come together share each crash. An
- * innocent one does not begin with them three times, as it is given no second upstream after a crash at which it had just begun, and it runs for a while
- * where no guilty one is.
+ * Returns the quarantine threshold as the score of a request that was in phase `SUSPECT_PHASE.Begun` at `BEGUN_CRASH_THRESHOLD` crashes and in
+ * phase `SUSPECT_PHASE.Running` at none, and 0 otherwise. Requests that crash upstreams and arrive together share each crash, so the sum of their
+ * scores for single crashes grows slowly. A harmless request is not in phase `SUSPECT_PHASE.Begun` at three of their crashes: it is not retried
+ * on a second upstream after such a crash, and on upstreams without such requests it reaches the phase `SUSPECT_PHASE.Running`.
  */
 export const getBegunScore = (ledger: CrashLedger, fingerprint: string): number =>
 	getBegunRuns(ledger, fingerprint).length >= BEGUN_CRASHES ? QUARANTINE_BLAME : 0;
--- a/packages/quarantine/src/get-blame.ts
+++ b/packages/quarantine/src/get-blame.ts
@@ -5,8 +5,10 @@
 import type {CrashRecord} from './crash-record.js';
 
 /**
- * How far a request is blamed for the crashes that it was in progress at.
- * @param getSingleScore - How far it is blamed for one of them; by all that the ledger says where it is left out.
+ * Returns the crash score of a request: how strongly the recorded crashes suggest that the request causes them. The score is a sum over the
+ * crashes at which the request was in progress; each of them adds at most 1. After an expired quarantine, the score starts from
+ * `HALF_OPEN_SCORE`.
+ * @param getSingleScore - Returns the score of the request for one crash; by default, it uses all that the ledger holds.
  */
 export const getBlame = (
 	ledger: CrashLedger,
--- a/packages/quarantine/src/get-evidence.ts
+++ b/packages/quarantine/src/get-evidence.ts
@@ -2,13 +2,13 @@
 import type {CrashEvidence} from './crash-evidence.js';
 import type {CrashLedger} from './crash-ledger.js';
 
-/** Other requests that are named for each crash. */
+/** Maximum number of other requests that are listed for each crash. */
 const MAX_OTHER_REQUESTS = 8;
 
-/** Crashes that are named for a request: more than a judgement takes. */
+/** Maximum number of crashes that are listed for a request: more than a quarantine decision needs. */
 const MAX_CRASHES = 12;
 
-/** What a request is blamed for, and who else was there: the newest crashes. */
+/** Returns the most recent crashes at which a request was in progress, with its score for each and the other requests there. */
 export const getEvidence = (ledger: CrashLedger, fingerprint: string, now: number): CrashEvidence[] =>
 	[...ledger.runsBySuspect.get(fingerprint) ?? []].slice(-MAX_CRASHES).map(runId => {
 		const record = ledger.crashes.get(runId)!;
--- a/packages/quarantine/src/get-fingerprint.ts
+++ b/packages/quarantine/src/get-fingerprint.ts
@@ -1,11 +1,11 @@
 import {Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 
-/** What makes two requests the same one, whichever process takes them and whatever id they bear. */
+/** The fields that identify equal requests, whichever gateway receives them and whatever request id they carry. */
 type RequestIdentity = {
 	/**
-	 * Who asks, as far as it is proved; empty where callers have no names. Then what is asked must do: the address of a connection is no
-	 * identity, as one caller comes from many.
+	 * Authenticated team of the caller; empty if callers are anonymous. Then the content of the request alone identifies it: the address of
+	 * a connection does not identify a caller, as one caller connects from many addresses.
 	 */
 	readonly team: string;
 	readonly method: string;
@@ -15,15 +15,15 @@
 	readonly body: Uint8Array;
 };
 
-/** Bytes of the hash that are kept: two requests of ten million share them by chance in one of 10^24 installations. */
+/** Length of a fingerprint: among ten million requests, two have the same one by chance in one of 10^24 installations. */
 const FINGERPRINT_BYTES = 16;
 
-/** Keeps the parts apart: none of the texts can contain it. */
+/** Separates the hashed fields; none of them can contain a line feed. */
 const SEPARATOR = '\n';
 
 /**
- * Names a request by what it asks, in hexadecimal digits. Nothing of the body can be read from it. It costs some 2 µs, and 0.5 ms for each
- * MiB of body (20,000 calls on one core), against some 3 ms that a gateway spends on a request.
+ * Returns a hash of the fields that identify a request, in hexadecimal digits. The body cannot be recovered from it. The hash takes about 2 µs,
+ * and 0.5 ms for each MiB of body (20,000 calls on one core); a gateway spends about 3 ms on a request.
  */
 export const getFingerprint = ({team, method, host, url, body}: RequestIdentity): string => {
 	const hash = createHash('sha256');
--- a/packages/quarantine/src/get-partial-blame.ts
+++ b/packages/quarantine/src/get-partial-blame.ts
@@ -4,8 +4,10 @@
 import type {CrashLedger} from './crash-ledger.js';
 
 /**
- * How far a request is blamed by one gateway, which does not know what others had in progress at the crashed upstreams.
- * @param isCleared - Whether a leader that knows of a crash does not suspect the request.
+ * Returns the crash score of a request as a single gateway computes it, without knowing which requests other gateways had in progress at the
+ * crashed upstreams.
+ * @param isCleared - Returns true if the leader knows of the crash of a run and does not suspect the request. Such a crash counts only if the
+ * request was in phase `SUSPECT_PHASE.Begun`.
  */
 export const getPartialBlame = (ledger: CrashLedger, fingerprint: string, isCleared: (runId: string) => boolean): number =>
 	getBlame(ledger, fingerprint, record => {
--- a/packages/quarantine/src/get-replaced-runs.ts
+++ b/packages/quarantine/src/get-replaced-runs.ts
@@ -1,12 +1,13 @@
 import type {CrashWatch} from './crash-watch.js';
 
+/** A run of an upstream that announces itself at present. */
 type AnnouncedRun = {
-	/** Names the run. */
+	/** Run id. */
 	readonly id: string;
 	readonly address: string;
 };
 
-/** The watched runs at whose address another run has announced itself: they have ended. */
+/** Returns the ids of the watched runs that have ended because another run announces itself at their address. */
 export const getReplacedRuns = (watch: CrashWatch, announcedRuns: Iterable<AnnouncedRun>): string[] => {
 	if (watch.runs.size === 0) {
 		return [];
--- a/packages/quarantine/src/get-single-crash-score.ts
+++ b/packages/quarantine/src/get-single-crash-score.ts
@@ -6,22 +6,26 @@
 import type {SuspectPhaseValue} from './suspect-phase-value.js';
 
 /**
- * Requests that share a crash are blamed by their number to the minus this: less judges innocent ones, more leaves guilty ones that come together
- * unjudged for longer.
+ * Each of n requests that share a crash gets the score n to the power of minus this exponent. A lower exponent quarantines harmless requests; a
+ * higher one takes longer to quarantine requests that crash upstreams and arrive together.
  */
 const SHARING_EXPONENT = 0.3;
 
-/** Blame where nothing of the answer had come, beside a request that had just begun: most of these were waiting. */
+/**
+ * Score of a request without any response yet, if another request was in phase `SUSPECT_PHASE.Begun` at the same crash: most requests without a
+ * response were still queued at the upstream.
+ */
 const WAITING_SCORE = 0.3;
 
-/** The share of the blame that is left to the others where a quarantined request was in progress too. */
+/** Factor on the scores for a crash at which a quarantined request was in progress too, as that request probably caused the crash. */
 const EXPLAINED_CRASH_FACTOR = 0.6;
 
 const countPhase = ({suspects}: CrashRecord, phase: SuspectPhaseValue): number => [...suspects.values()].filter(suspect => suspect.phase === phase).length;
 
 /**
- * A crash is laid to the requests that had just begun, or where there are none to those without a part of an answer. Several share it: one that
- * meets three crashes by chance was never there alone, as the guilty one was there too.
+ * Returns the score of a request for one crash by its phase. A crash is attributed to the requests in phase `SUSPECT_PHASE.Begun` or, if there
+ * are none, to those in phase `SUSPECT_PHASE.Unanswered`. Several such requests share the score: a request that is in progress at three crashes
+ * by chance was never the only suspect, because the request that caused the crash was there too.
  */
 const getPhaseScore = (record: CrashRecord, fingerprint: string): number => {
 	const {phase} = record.suspects.get(fingerprint)!;
@@ -44,15 +48,20 @@
 	}
 };
 
-/** Blame where nothing of the answer had come: at another gateway a request may have just begun there. */
+/**
+ * Highest score for a partially reported crash of a request that was not in phase `SUSPECT_PHASE.Begun`: another gateway may have had a request
+ * in this phase at the same upstream.
+ */
 const MAX_PARTIAL_SCORE = 0.5;
 
+/** True if another request that is quarantined was in progress at the crash. */
 const isExplained = (ledger: CrashLedger, record: CrashRecord, fingerprint: string): boolean =>
 	[...record.suspects.keys()].some(other => other !== fingerprint && ledger.quarantined.has(other));
 
 /**
- * How far a request is blamed for one crash that it was in progress at.
- * @param isPartial - Whether only some of the gateways have told what was in progress there. Who had just begun is blamed as with all that is known.
+ * Returns the score of a request for one crash at which it was in progress.
+ * @param isPartial - True if only some gateways have reported their requests in progress at the crash. This does not lower the score of a request
+ * that was in phase `SUSPECT_PHASE.Begun`.
  */
 export const getSingleCrashScore = (ledger: CrashLedger, record: CrashRecord, fingerprint: string, isPartial = record.isPartial): number => {
 	const phaseScore = getPhaseScore(record, fingerprint);
--- a/packages/quarantine/src/get-suspected.ts
+++ b/packages/quarantine/src/get-suspected.ts
@@ -1,15 +1,15 @@
 import type {CrashLedger} from './crash-ledger.js';
 import {getBlame} from './get-blame.js';
 
-/** Suspected requests that are told to others at most: the most blamed. */
+/** Maximum number of suspected requests that the leader reports to the gateways: those with the highest crash scores. */
 const MAX_SUSPECTED_REQUESTS = 256;
 
-/** The blame from which others are told of a request: more than one crash. */
+/** Crash score from which the leader reports a request to the gateways; more than the score of a single crash. */
 const MIN_REPORTED_SCORE = 1.2;
 
-/** Requests that are blamed for more than one crash and not quarantined, the most blamed first. */
+/** Returns the fingerprints of requests that are suspected but not quarantined, those with the highest crash scores first. */
 export const getSuspected = (ledger: CrashLedger): string[] => [...ledger.runsBySuspect]
-	// One crash alone is never enough, and nearly all were at one only.
+	// A single crash never reaches the minimum score, and nearly all requests were in progress at only one crash.
 	.filter(([fingerprint, runs]) => (runs.size > 1 || ledger.halfOpen.has(fingerprint)) && !ledger.quarantined.has(fingerprint))
 	.map(([fingerprint]) => fingerprint)
 	.map(fingerprint => ({fingerprint, blame: getBlame(ledger, fingerprint)}))
--- a/packages/quarantine/src/half-open-score.ts
+++ b/packages/quarantine/src/half-open-score.ts
@@ -1,5 +1,5 @@
 import {QUARANTINE_BLAME} from './quarantine-blame.js';
 import {RUNNING_SCORE} from './running-score.js';
 
-/** What a request keeps of its blame when its quarantine ends by time: one more crash is enough. */
+/** Crash score that a request starts from after its quarantine has expired: one more crash quarantines it again. */
 export const HALF_OPEN_SCORE = QUARANTINE_BLAME - RUNNING_SCORE;
--- a/packages/quarantine/src/last-served-times.ts
+++ b/packages/quarantine/src/last-served-times.ts
@@ -1,2 +1,2 @@
-/** When requests were last answered whole, in monotonic milliseconds by fingerprint, the longest ago first. */
+/** Time of the last complete response to each request, in monotonic milliseconds by fingerprint, oldest first. */
 export type LastServedTimes = Map<string, number>;
--- a/packages/quarantine/src/mutate-broken.ts
+++ b/packages/quarantine/src/mutate-broken.ts
@@ -3,16 +3,17 @@
 import type {Suspect} from './suspect.js';
 import type {WatchedRun} from './watched-run.js';
 
+/** A connection to a run of an upstream that broke while a request was in progress on it. */
 type BrokenConnection = {
 	readonly runId: string;
 	readonly address: string;
 	readonly suspect: Suspect;
 };
 
-/** Runs that are watched at once; the one watched longest makes way. Several times the upstreams that crash within `WATCH_MS`. */
+/** Maximum number of watched runs; a new one replaces the oldest. This is several times the number of upstreams that crash within `WATCH_MS`. */
 const MAX_RUNS = 64;
 
-/** Suspects of one crash that a gateway keeps: more than its share of the places at any upstream seen so far. */
+/** Maximum number of suspects per run at one gateway: more than its share of the concurrency limit of any known upstream. */
 const MAX_SUSPECTS = 256;
 
 const newRun = (watch: CrashWatch, {runId, address}: BrokenConnection, now: number): WatchedRun => {
@@ -28,7 +29,7 @@
 	return run;
 };
 
-/** Takes a connection that broke before the answer to its request was whole, and returns what is known of the run behind it. */
+/** Records a connection that broke before the response to its request was complete, and returns the watched run of its upstream. */
 export const mutateBroken = (watch: CrashWatch, connection: BrokenConnection, now: number): WatchedRun => {
 	const {runId, suspect} = connection;
 	const run = watch.runs.get(runId) ?? newRun(watch, connection, now);
--- a/packages/quarantine/src/mutate-cleared-crashes.ts
+++ b/packages/quarantine/src/mutate-cleared-crashes.ts
@@ -1,6 +1,6 @@
 import type {CrashLedger} from './crash-ledger.js';
 
-/** Forgets the crashes that a request is blamed for. Returns whether there were any. */
+/** Removes a request from the suspects of all crashes; returns true if it was a suspect of any. */
 export const mutateClearedCrashes = (ledger: CrashLedger, fingerprint: string): boolean => {
 	for (const runId of ledger.runsBySuspect.get(fingerprint) ?? []) {
 		ledger.crashes.get(runId)!.suspects.delete(fingerprint);
--- a/packages/quarantine/src/mutate-crash.ts
+++ b/packages/quarantine/src/mutate-crash.ts
@@ -6,10 +6,13 @@
 import type {Suspect} from './suspect.js';
 import {mutateRemovedCrash} from './mutate-removed-crash.js';
 
-/** Crashes that are kept; the oldest makes way. At two crashes a second, as many as six of six engines that come back make, two minutes. */
+/**
+ * Maximum number of crashes in the ledger; a new one replaces the oldest. The ledger covers two minutes at two crashes a second, which is the
+ * rate of six engines that all crash again after each restart.
+ */
 const MAX_CRASHES = 256;
 
-/** Suspects of one crash over all gateways that are kept: six times the most seen. All crashes together take some 10 MB at worst. */
+/** Maximum number of suspects per crash over all gateways: six times the highest number seen. The ledger then takes about 10 MB at most. */
 const MAX_SUSPECTS = 256;
 
 const newRecord = (ledger: CrashLedger, runId: string, now: number, isPartial: boolean): CrashRecord => {
@@ -25,6 +28,7 @@
 	return record;
 };
 
+/** Adds a suspect to a crash unless it was served recently; returns true if this changed the record. */
 const mutateSuspect = (ledger: CrashLedger, record: CrashRecord, suspect: Suspect, now: number): boolean => {
 	if (isServedLately(ledger.served, suspect.fingerprint, now)) {
 		return false;
@@ -43,8 +47,8 @@
 };
 
 /**
- * Takes what one gateway tells of a crash; returns whether any of it is new. The same may be told again.
- * @param isPartial - Whether other gateways may tell of the crash later; counts where it was not known before.
+ * Adds one gateway's report of a crash to the ledger; returns true if the ledger changed. Repeated reports have no effect.
+ * @param isPartial - True if other gateways may still report the crash; used only for the first report of a crash.
  */
 export const mutateCrash = (ledger: CrashLedger, {runId, suspects}: Crash, now: number, isPartial = false): boolean => {
 	const record = ledger.crashes.get(runId) ?? newRecord(ledger, runId, now, isPartial);
--- a/packages/quarantine/src/mutate-last-served-times.ts
+++ b/packages/quarantine/src/mutate-last-served-times.ts
@@ -1,9 +1,9 @@
 import type {LastServedTimes} from './last-served-times.js';
 
-/** Requests that are remembered as answered; the one answered longest ago makes way. Some 500 KiB. */
+/** Maximum number of entries, about 500 KiB; a new entry replaces the request that was answered longest ago. */
 const MAX_SERVED_REQUESTS = 4096;
 
-/** Remembers that a request was answered whole. */
+/** Records that a request was answered completely. */
 export const mutateLastServedTimes = (served: LastServedTimes, fingerprint: string, now: number): void => {
 	served.delete(fingerprint);
 	served.set(fingerprint, now);
--- a/packages/quarantine/src/mutate-old-crashes.ts
+++ b/packages/quarantine/src/mutate-old-crashes.ts
@@ -1,10 +1,10 @@
 import type {CrashLedger} from './crash-ledger.js';
 import {mutateRemovedCrash} from './mutate-removed-crash.js';
 
-/** How long a crash counts, in milliseconds. A caller that asks again does so within its own time, minutes at most. */
+/** Time for which a crash stays in the ledger, in milliseconds. Callers retry within their own timeout, which is some minutes at most. */
 const CRASH_RETENTION_MS = 600_000;
 
-/** Forgets crashes that happened long ago. */
+/** Removes crashes older than `CRASH_RETENTION_MS` from the ledger. */
 export const mutateOldCrashes = (ledger: CrashLedger, now: number): void => {
 	for (const record of ledger.crashes.values()) {
 		if (now - record.at > CRASH_RETENTION_MS) {
--- a/packages/quarantine/src/mutate-quarantined.ts
+++ b/packages/quarantine/src/mutate-quarantined.ts
@@ -4,7 +4,7 @@
 
 type ScoreFunction = (fingerprint: string) => number;
 
-/** The most blamed of the requests that are blamed enough. */
+/** Returns the request with the highest crash score, or undefined if no request reaches the quarantine threshold. */
 const getHighestScored = (ledger: CrashLedger, fingerprints: Iterable<string>, getScore: ScoreFunction): string | undefined => {
 	let highest: string | undefined;
 	let highestScore = 0;
@@ -20,10 +20,10 @@
 };
 
 /**
- * Quarantines those of the requests that are blamed enough, and returns them. The most blamed goes first, as it explains crashes that others
- * were merely beside.
- * @param fingerprints - The requests of which something new is known.
- * @param getScore - How far a request is blamed; by all that the ledger says where it is left out.
+ * Quarantines those of the given requests whose crash score reaches the quarantine threshold, and returns their fingerprints. The highest score
+ * goes first, because each quarantined request lowers the scores of other requests that were in progress at the same crashes.
+ * @param fingerprints - Requests with new evidence.
+ * @param getScore - Returns the crash score of a request; by default, it uses all that the ledger holds.
  */
 export const mutateQuarantined = (
 	ledger: CrashLedger,
--- a/packages/quarantine/src/mutate-released.ts
+++ b/packages/quarantine/src/mutate-released.ts
@@ -2,8 +2,8 @@
 import type {CrashLedger} from './crash-ledger.js';
 
 /**
- * Ends the quarantine of a request and forgets what it is blamed for.
- * @param isHalfOpen - Whether one more crash is to be enough; false where an operator takes the judgement back.
+ * Ends the quarantine of a request and removes the crashes that counted against it.
+ * @param isHalfOpen - True if one more crash shall quarantine the request again; false if an operator releases it.
  */
 export const mutateReleased = (ledger: CrashLedger, fingerprint: string, isHalfOpen: boolean): void => {
 	ledger.quarantined.delete(fingerprint);
--- a/packages/quarantine/src/mutate-removed-crash.ts
+++ b/packages/quarantine/src/mutate-removed-crash.ts
@@ -1,7 +1,7 @@
 import type {CrashLedger} from './crash-ledger.js';
 import type {CrashRecord} from './crash-record.js';
 
-/** Takes a crash out of the ledger. */
+/** Removes a crash from the ledger. */
 export const mutateRemovedCrash = (ledger: CrashLedger, {runId, suspects}: CrashRecord): void => {
 	ledger.crashes.delete(runId);
 	for (const fingerprint of suspects.keys()) {
--- a/packages/quarantine/src/mutate-served.ts
+++ b/packages/quarantine/src/mutate-served.ts
@@ -2,7 +2,10 @@
 import {mutateClearedCrashes} from './mutate-cleared-crashes.js';
 import {mutateLastServedTimes} from './mutate-last-served-times.js';
 
-/** Takes that an upstream answered a request whole: it is blamed for nothing any more. Returns whether it was. */
+/**
+ * Records that an upstream answered a request completely, which ends its quarantine and resets its crash score. Returns true if the request was
+ * quarantined, half open or in progress at a recorded crash.
+ */
 export const mutateServed = (ledger: CrashLedger, fingerprint: string, now: number): boolean => {
 	mutateLastServedTimes(ledger.served, fingerprint, now);
 	const wasHalfOpen = ledger.halfOpen.delete(fingerprint);
--- a/packages/quarantine/src/mutate-unwatched.ts
+++ b/packages/quarantine/src/mutate-unwatched.ts
@@ -1,12 +1,12 @@
 import type {CrashWatch} from './crash-watch.js';
 
 /**
- * How long a run is watched after its first broken connection, in milliseconds: upstreams that crash are back and announce themselves within
- * some seconds. One that has not ended by then lost connections alone.
+ * Time for which a run is watched after its first broken connection, in milliseconds. An upstream that crashed restarts and announces itself
+ * within some seconds; a run that has not ended by then has only lost some connections.
  */
 const WATCH_MS = 10_000;
 
-/** Ends the watch over runs that did not end. */
+/** Stops watching runs that did not end within `WATCH_MS`. */
 export const mutateUnwatched = (watch: CrashWatch, now: number): void => {
 	for (const [runId, run] of watch.runs) {
 		if (!run.isCrashed && now - run.since > WATCH_MS) {
--- a/packages/quarantine/src/new-crash-watch.ts
+++ b/packages/quarantine/src/new-crash-watch.ts
@@ -1,4 +1,4 @@
 import type {CrashWatch} from './crash-watch.js';
 
-/** A watch that has seen nothing. */
+/** Creates a crash watch without any watched runs. */
 export const newCrashWatch = (): CrashWatch => ({runs: new Map()});
--- a/packages/quarantine/src/quarantine-blame.ts
+++ b/packages/quarantine/src/quarantine-blame.ts
@@ -1,2 +1,2 @@
-/** The blame at which a request is not sent any more: three crashes, of which it may share two with one other. */
+/** Crash score from which a request is quarantined: three crashes, two of which the request may share with one other request. */
 export const QUARANTINE_BLAME = 2.1;
--- a/packages/quarantine/src/quarantine-ms.ts
+++ b/packages/quarantine/src/quarantine-ms.ts
@@ -1,5 +1,5 @@
 /**
- * How long a request is not sent, in milliseconds. Then it may run once more; if an upstream crashes under it, for as long again. So a request
- * that comes for ever costs one upstream in ten minutes.
+ * Duration of a quarantine in milliseconds. After that, the request may be sent again; if it crashes another upstream, it is quarantined for the
+ * same time again. A request that callers repeat for ever therefore crashes one upstream in ten minutes.
  */
 export const QUARANTINE_MS = 600_000;
--- a/packages/quarantine/src/served-exemption-ms.ts
+++ b/packages/quarantine/src/served-exemption-ms.ts
@@ -1,5 +1,5 @@
 /**
- * For how long a request that an upstream answered whole is not blamed for crashes, in milliseconds. What many callers ask all the time is in progress
- * at nearly every crash, and is answered many times a minute; what crashes upstreams is not answered at all.
+ * Time for which crashes do not count against a request after an upstream answered it completely, in milliseconds. A request that many callers
+ * send all the time is in progress at nearly every crash and is answered many times a minute; a request that crashes upstreams is never answered.
  */
 export const SERVED_EXEMPTION_MS = 60_000;
--- a/packages/quarantine/src/suspect-phase.ts
+++ b/packages/quarantine/src/suspect-phase.ts
@@ -1,9 +1,9 @@
-/** How far an upstream had come with a request when it crashed, as far as the gateway could see. */
+/** Phases of a request when its upstream crashed, as the gateway observed them. */
 export const SUSPECT_PHASE = {
-	/** Nothing of its answer had come: it may have waited there, or just begun. */
+	/** No part of the response had arrived: the request was queued at the upstream or had just begun to run. */
 	Unanswered: 'unanswered',
-	/** The head of its answer had come and nothing more: it had just begun to run. */
+	/** Only the head of the response had arrived: the request had just begun to run. */
 	Begun: 'begun',
-	/** Some of its answer's body had come: it had run for a while. */
+	/** A part of the response body had arrived: the request had been running for some time. */
 	Running: 'running',
 } as const;
--- a/packages/quarantine/src/suspicion-blame.ts
+++ b/packages/quarantine/src/suspicion-blame.ts
@@ -1,5 +1,5 @@
 /**
- * The blame from which a request is not sent to a second upstream after it lost one: a crash that it shared with two others at most. A retry would
- * risk a further upstream before anybody can judge; without it each try of such a request costs two.
+ * Crash score from which a request is not retried on a second upstream after a crash: one crash that it shared with at most two other requests. A
+ * retry would risk a second upstream before a quarantine decision is possible, so that each attempt of a caller could cost two upstreams.
  */
 export const SUSPICION_BLAME = 0.7;
