--- a/packages/quarantine/tests/crash-simulation.ts
+++ b/packages/quarantine/tests/crash-simulation.ts
@@ -6,43 +6,54 @@
 } from '@valelead/quarantine';
 
 type Engine = {
+	/** Number of the current run of the engine. */
 	id: number;
+	/** When the engine is available again after a crash. */
 	upAt: number;
 };
 
+/** One attempt of a request that is in progress on an engine. Times are virtual milliseconds. */
 type Run = {
 	readonly name: string;
+	/** True if the request crashes its engine at `endsAt`. */
 	readonly isCrashing: boolean;
 	readonly engine: Engine;
 	readonly sentAt: number;
 	readonly beginsAt: number;
 	readonly endsAt: number;
 	readonly attempt: number;
+	/** True if the caller has sent the request again after its last attempt failed. */
 	readonly isCallerRetry: boolean;
 };
 
 type SimulationOptions = {
 	readonly seed: number;
+	/** Number of requests that crash engines. */
 	readonly crashingCount: number;
-	/** Whether judgements have an effect. */
+	/** True if quarantine decisions take effect; false for the comparison without them. */
 	readonly isQuarantineEnabled: boolean;
 };
 
 const ENGINES = 6;
 const STEP_MS = 5;
 const DURATION_MS = 40_000;
-/** From a crash to the judgement on all gateways. */
+/** Time from a crash until all gateways apply the quarantine decision. */
 const DECISION_LAG_MS = 25;
+/** Mean time between the arrivals of harmless requests. */
 const HARMLESS_INTERVAL_MS = 48;
-/** Crashes that no request caused, one in this time. */
+/** Mean time between crashes that no request causes. */
 const UNRELATED_CRASH_INTERVAL_MS = 8000;
+/** Maximum spread of the time after which a crashing request crashes its engine, on top of 30 ms. */
 const MAX_BEGUN_MS = 60;
 const HARMLESS_RUN_MS = 1300;
 const MAX_ATTEMPTS = 2;
 
-/** Engines that crash under some requests and come back, callers that try again, and the shipped judgement, in virtual time. */
+/**
+ * Simulates, in virtual time, engines that crash on some requests and restart, callers that retry, and the quarantine decisions of this package.
+ * The simulated requests are named `guilty` if they crash engines, and `innocent` otherwise.
+ */
 export class CrashSimulation {
-	/** When engines crashed under each guilty request, and when the try was sent. */
+	/** Crashes that each crashing request caused, with the time at which the attempt was sent. */
 	readonly crashes = new Map<string, Array<{readonly at: number; readonly sentAt: number}>>();
 	readonly quarantined = new Set<string>();
 	served = 0;
@@ -54,13 +65,13 @@
 	#runs: Run[] = [];
 	#nextEngine = ENGINES;
 	#now = 0;
-	readonly #scheduled: Array<{readonly at: number; readonly act: () => void}> = [];
+	readonly #scheduled: Array<{readonly at: number; readonly callback: () => void}> = [];
 
-	constructor(terms: SimulationOptions) {
-		this.#options = terms;
-		this.#random = xoroshiro128plus(terms.seed);
+	constructor(options: SimulationOptions) {
+		this.#options = options;
+		this.#random = xoroshiro128plus(options.seed);
 		this.#engines = Array.from({length: ENGINES}, (_, id) => ({id, upAt: 0}));
-		for (let index = 0; index < terms.crashingCount; index += 1) {
+		for (let index = 0; index < options.crashingCount; index += 1) {
 			this.#schedule(this.#getRandomInt(3000), () => {
 				this.#sendRepeatedly(`guilty ${index}`);
 			});
@@ -69,9 +80,9 @@
 
 	simulate(): void {
 		for (; this.#now < DURATION_MS; this.#now += STEP_MS) {
-			this.#mutateArrivals();
-			for (const {act} of this.#takeDueCallbacks()) {
-				act();
+			this.#addArrivals();
+			for (const {callback} of this.#takeDueCallbacks()) {
+				callback();
 			}
 
 			for (const run of this.#runs.filter(({endsAt}) => endsAt <= this.#now)) {
@@ -84,18 +95,18 @@
 		return uniformInt(this.#random, 0, below - 1);
 	}
 
-	#schedule(delayMs: number, act: () => void): void {
-		this.#scheduled.push({at: this.#now + delayMs, act});
+	#schedule(delayMs: number, callback: () => void): void {
+		this.#scheduled.push({at: this.#now + delayMs, callback});
 	}
 
-	#takeDueCallbacks(): Array<{readonly act: () => void}> {
+	#takeDueCallbacks(): Array<{readonly callback: () => void}> {
 		const due = this.#scheduled.filter(({at}) => at <= this.#now);
 		const rest = this.#scheduled.filter(({at}) => at > this.#now);
 		this.#scheduled.splice(0, this.#scheduled.length, ...rest);
 		return due;
 	}
 
-	#mutateArrivals(): void {
+	#addArrivals(): void {
 		if (this.#getRandomInt(HARMLESS_INTERVAL_MS) < STEP_MS) {
 			this.arrived += 1;
 			this.#send(`innocent ${this.arrived}`, 1, false);
@@ -106,7 +117,7 @@
 		}
 	}
 
-	/** A guilty request comes again for ever, as two callers send it. */
+	/** Sends a crashing request again and again, at the rate of two callers that retry. */
 	#sendRepeatedly(name: string): void {
 		this.#send(name, 1, false);
 		this.#schedule(300 + this.#getRandomInt(1500), () => {
@@ -114,17 +125,17 @@
 		});
 	}
 
-	#send(name: string, attempt: number, isRepeat: boolean): void {
+	#send(name: string, attempt: number, isCallerRetry: boolean): void {
 		const up = this.#engines.filter(({upAt}) => upAt <= this.#now);
 		if (up.length === 0 || (this.#options.isQuarantineEnabled && this.quarantined.has(name))) {
 			return;
 		}
 
-		const isGuilty = name.startsWith('guilty');
+		const isCrashing = name.startsWith('guilty');
 		const beginsAt = this.#now + 20 + this.#getRandomInt(250);
-		const endsAt = beginsAt + (isGuilty ? 30 + this.#getRandomInt(MAX_BEGUN_MS) : HARMLESS_RUN_MS);
+		const endsAt = beginsAt + (isCrashing ? 30 + this.#getRandomInt(MAX_BEGUN_MS) : HARMLESS_RUN_MS);
 		this.#runs.push({
-			name, isCrashing: isGuilty, engine: up[this.#getRandomInt(up.length)], sentAt: this.#now, beginsAt, endsAt, attempt, isCallerRetry: isRepeat,
+			name, isCrashing, engine: up[this.#getRandomInt(up.length)], sentAt: this.#now, beginsAt, endsAt, attempt, isCallerRetry,
 		});
 	}
 
@@ -134,8 +145,8 @@
 		}
 
 		if (run.isCrashing) {
-			const known = this.crashes.get(run.name) ?? [];
-			this.crashes.set(run.name, [...known, {at: this.#now, sentAt: run.sentAt}]);
+			const previous = this.crashes.get(run.name) ?? [];
+			this.crashes.set(run.name, [...previous, {at: this.#now, sentAt: run.sentAt}]);
 			this.#crash(run.engine);
 			return;
 		}
@@ -166,12 +177,12 @@
 		});
 	}
 
-	#retry({name, attempt, isCallerRetry: isRepeat, isCrashing: isGuilty}: Run, hadBegun: boolean): void {
-		const isSuspected = getBlame(this.#ledger, name) >= SUSPICION_BLAME || hadBegun;
+	#retry({name, attempt, isCallerRetry, isCrashing}: Run, wasBegun: boolean): void {
+		const isSuspected = getBlame(this.#ledger, name) >= SUSPICION_BLAME || wasBegun;
 		const isLast = this.#options.isQuarantineEnabled && isSuspected;
 		if (attempt < MAX_ATTEMPTS && !isLast) {
-			this.#send(name, attempt + 1, isRepeat);
-		} else if (!isGuilty && !isRepeat) {
+			this.#send(name, attempt + 1, isCallerRetry);
+		} else if (!isCrashing && !isCallerRetry) {
 			this.#schedule(200 + this.#getRandomInt(800), () => {
 				this.#send(name, 1, true);
 			});
--- a/packages/quarantine/tests/judgement.steps.ts
+++ b/packages/quarantine/tests/judgement.steps.ts
@@ -36,43 +36,46 @@
 
 const split = (text: string): string[] => text.split(', ');
 
-/** Crashes under tries that were sent later than half of the time in which all gateways must know. */
+/**
+ * Counts crashes by attempts that were sent more than `LATE_MS` after the decisive crash: half of the time within which all gateways must know
+ * the decision.
+ */
 const getLateCrashes = (crashes: readonly RequestCrash[]): number => {
 	const decidedAt = crashes[DECISIVE_CRASHES - 1]?.at ?? Number.POSITIVE_INFINITY;
 	return crashes.filter(({sentAt}) => sentAt > decidedAt + LATE_MS).length;
 };
 
-const simulateSeeds = (guilty: number, from: number, to: number, isJudged: boolean): CrashSimulation[] => Array.from({length: to - from + 1}, (_, index) => {
-	const model = new CrashSimulation({seed: from + index, crashingCount: guilty, isQuarantineEnabled: isJudged});
-	model.simulate();
-	return model;
+const simulateSeeds = (crashingCount: number, from: number, to: number, isQuarantineEnabled: boolean): CrashSimulation[] => Array.from({length: to - from + 1}, (_, index) => {
+	const simulation = new CrashSimulation({seed: from + index, crashingCount, isQuarantineEnabled});
+	simulation.simulate();
+	return simulation;
 });
 
-When('{int} guilty requests come again for 40 seconds under seeds {int} to {int}', {timeout: 120_000}, function (this: QuarantineWorld, guilty: number, from: number, to: number) {
-	this.quarantining = simulateSeeds(guilty, from, to, true);
-	this.unprotected = simulateSeeds(guilty, from, from + 4, false);
+When('{int} crashing requests are sent repeatedly for 40 seconds with seeds {int} to {int}', {timeout: 120_000}, function (this: QuarantineWorld, crashingCount: number, from: number, to: number) {
+	this.quarantining = simulateSeeds(crashingCount, from, to, true);
+	this.unprotected = simulateSeeds(crashingCount, from, from + 4, false);
 });
 
-Then('no innocent request is quarantined', function (this: QuarantineWorld) {
-	assert.deepEqual(this.quarantining.flatMap(model => [...model.quarantined].filter(name => name.startsWith('innocent'))), []);
+Then('no harmless request is quarantined', function (this: QuarantineWorld) {
+	assert.deepEqual(this.quarantining.flatMap(simulation => [...simulation.quarantined].filter(name => name.startsWith('innocent'))), []);
 });
 
-Then('at most {int} engines crash under tries that were sent later than 1.5 s after three crashes under that request', function (this: QuarantineWorld, most: number) {
-	const late = this.quarantining.flatMap(model => [...model.crashes.values()].map(crashes => getLateCrashes(crashes)));
+Then('at most {int} engines crash on attempts that were sent more than 1.5 s after the third crash on the same request', function (this: QuarantineWorld, most: number) {
+	const late = this.quarantining.flatMap(simulation => [...simulation.crashes.values()].map(crashes => getLateCrashes(crashes)));
 	assert.ok(Math.max(...late) <= most, `${Math.max(...late)}`);
 });
 
-Then('each guilty request crashes {float} engines in the mean at most, and {int} at most', function (this: QuarantineWorld, mean: number, most: number) {
-	const counts = this.quarantining.flatMap(model => [...model.crashes.values()].map(crashes => crashes.length));
+Then('crashing requests crash at most {float} engines each on average, and none more than {int}', function (this: QuarantineWorld, mean: number, most: number) {
+	const counts = this.quarantining.flatMap(simulation => [...simulation.crashes.values()].map(crashes => crashes.length));
 	const found = counts.reduce((sum, count) => sum + count, 0) / counts.length;
 	assert.ok(found <= mean, `${found} in the mean`);
 	assert.ok(Math.max(...counts) <= most, `${Math.max(...counts)} at most`);
 });
 
 const getServedShare = (models: readonly CrashSimulation[]): number =>
-	models.reduce((sum, model) => sum + model.served, 0) / models.reduce((sum, model) => sum + model.arrived, 0);
+	models.reduce((sum, simulation) => sum + simulation.served, 0) / models.reduce((sum, simulation) => sum + simulation.arrived, 0);
 
-Then('at least {float} of the innocent requests are served, and at most {float} without judgement', function (this: QuarantineWorld, share: number, without: number) {
+Then('at least {float} of the harmless requests are served, and at most {float} without quarantine', function (this: QuarantineWorld, share: number, without: number) {
 	assert.ok(getServedShare(this.quarantining) >= share, `${getServedShare(this.quarantining)}`);
 	assert.ok(getServedShare(this.unprotected) <= without, `${getServedShare(this.unprotected)}`);
 });
@@ -83,23 +86,23 @@
 	mutateQuarantined(world.ledger, names);
 };
 
-Given('crashes of runs {string} under requests {string}', function (this: QuarantineWorld, runs: string, names: string) {
+Given('crashes of runs {string} with requests {string} in progress', function (this: QuarantineWorld, runs: string, names: string) {
 	for (const runId of split(runs)) {
 		recordCrash(this, runId, split(names));
 	}
 });
 
-Given('a crash of run {string} under request {string}', function (this: QuarantineWorld, runId: string, name: string) {
-	// More is known of one crash than of another that was shared, so this one is not judged at once.
+Given('a crash of run {string} with request {string} in progress', function (this: QuarantineWorld, runId: string, name: string) {
+	// The step only records the crash, which weighs more than one shared with other requests; a later step makes the quarantine decision.
 	mutateCrash(this.ledger!, {runId, suspects: [{fingerprint: name, phase: SUSPECT_PHASE.Begun}]}, 0);
 });
 
-Given('a request {string} that was answered whole', function (this: QuarantineWorld, name: string) {
+Given('a request {string} that was answered completely', function (this: QuarantineWorld, name: string) {
 	this.ledger = newCrashLedger();
 	mutateServed(this.ledger, name, 0);
 });
 
-When('an upstream answers {string} whole', function (this: QuarantineWorld, name: string) {
+When('an upstream answers {string} completely', function (this: QuarantineWorld, name: string) {
 	mutateServed(this.ledger!, name, 0);
 });
 
@@ -107,14 +110,14 @@
 	mutateReleased(this.ledger!, name, false);
 });
 
-When('the quarantine of {string} ends by time', function (this: QuarantineWorld, name: string) {
+When('the quarantine of {string} expires', function (this: QuarantineWorld, name: string) {
 	mutateReleased(this.ledger!, name, true);
 	assert.equal(this.ledger!.quarantined.has(name), false);
 });
 
-Then('{string} is blamed for {int} crash(es) and {string} for {int}', function (this: QuarantineWorld, first: string, blame: number, second: string, otherBlame: number) {
-	assert.equal(getBlame(this.ledger!, first), blame);
-	assert.equal(getBlame(this.ledger!, second), otherBlame);
+Then('the crash score of {string} is {int} and that of {string} is {int}', function (this: QuarantineWorld, first: string, score: number, second: string, otherScore: number) {
+	assert.equal(getBlame(this.ledger!, first), score);
+	assert.equal(getBlame(this.ledger!, second), otherScore);
 });
 
 Then('{string} is quarantined', function (this: QuarantineWorld, name: string) {
@@ -127,7 +130,7 @@
 	assert.equal(this.ledger!.quarantined.has(name), false);
 });
 
-When('a connection to run {string} breaks under request {string}', function (this: QuarantineWorld, runId: string, fingerprint: string) {
+When('a connection to run {string} breaks with request {string} in progress', function (this: QuarantineWorld, runId: string, fingerprint: string) {
 	this.watch = newCrashWatch();
 	mutateBroken(this.watch, {runId, address: ADDRESS, suspect: {fingerprint, phase: SUSPECT_PHASE.Running}}, 0);
 });
@@ -144,7 +147,7 @@
 	assert.deepEqual(this.replaced, []);
 });
 
-Then('run {string} has crashed under {string}', function (this: QuarantineWorld, runId: string, fingerprint: string) {
+Then('run {string} has crashed with request {string} in progress', function (this: QuarantineWorld, runId: string, fingerprint: string) {
 	assert.deepEqual(this.replaced, [runId]);
 	const run = mutateCrashed(this.watch, runId)!;
 	assert.deepEqual([...run.suspects.keys()], [fingerprint]);
--- a/packages/quota/src/borrower.ts
+++ b/packages/quota/src/borrower.ts
@@ -1,7 +1,7 @@
-/** A process that holds loans, in one session with the leader. */
+/** A process that has borrowed units, in one session with the leader. */
 export type Borrower = {
-	/** What it holds, by subject. */
+	/** Units that the process has borrowed and not yet reported as used or returned, by subject. */
 	readonly amounts: Map<string, number>;
-	/** When the last of it can be used, in monotonic milliseconds. */
+	/** When all loans of the process have expired, in monotonic milliseconds. */
 	expiresAt: number;
 };
--- a/packages/quota/src/get-request-cost.ts
+++ b/packages/quota/src/get-request-cost.ts
@@ -2,8 +2,8 @@
 import type {Quota} from './quota.js';
 
 /**
- * What a request counts of its subject's quota.
- * @param tokens - Those of its prompt and the most that it may generate together; undefined where it names none.
+ * Returns the units that a request takes of its subject's quota.
+ * @param tokens - Tokens of the prompt and maximum tokens to generate, in sum; undefined if the request does not state them.
  */
 export const getRequestCost = (quota: Quota, tokens: number | undefined): number => {
 	if (quota.unit === QUOTA_UNIT.Request) {
--- a/packages/quota/src/get-stock-amount.ts
+++ b/packages/quota/src/get-stock-amount.ts
@@ -1,6 +1,6 @@
 import type {QuotaStock} from './quota-stock.js';
 
-/** The whole units that requests of a subject may take from the stock now, one unit each. */
+/** Returns how many requests of a subject the stock can serve now, at one unit each. */
 export const getStockAmount = ({previous, current}: QuotaStock, subject: string, now: number): number => {
 	let amount = 0;
 	for (const {subjects, validUntil} of [previous, current]) {
--- a/packages/quota/src/get-subject-stock.ts
+++ b/packages/quota/src/get-subject-stock.ts
@@ -1,7 +1,7 @@
 import type {SessionStock} from './session-stock.js';
 import type {SubjectStock} from './subject-stock.js';
 
-/** A subject's part of a book, made when it is first asked for. */
+/** Returns a subject's units in the stock of a session; adds an empty entry for a new subject. */
 export const getSubjectStock = ({subjects}: SessionStock, subject: string): SubjectStock => {
 	const existing = subjects.get(subject);
 	if (existing) {
--- a/packages/quota/src/get-target-stock.ts
+++ b/packages/quota/src/get-target-stock.ts
@@ -1,12 +1,15 @@
 import {DEMAND_DECAY_MS} from './demand-decay-ms.js';
 import type {QuotaStock} from './quota-stock.js';
 
-/** What is asked for in this time is kept in hand, in milliseconds: some reports to the leader, and most of the time without one. */
+/** Time whose expected demand a process keeps in stock, in milliseconds: several reports to the leader, and most of the time of an election. */
 const STOCK_HORIZON_MS = 1500;
 
-/** The units of a subject that a process wants in hand: what it expects to be asked for, and at least a request of usual size; nothing where the subject is scarce. */
-export const getTargetStock = ({scarce, demands, meanCost}: QuotaStock, subject: string, now: number): number => {
-	if (scarce.has(subject)) {
+/**
+ * Returns the units of a subject that a process aims to keep in stock: the expected demand, at least one request of mean cost, or 0 if the
+ * subject is scarce.
+ */
+export const getTargetStock = ({scarceSubjects, demands, meanCost}: QuotaStock, subject: string, now: number): number => {
+	if (scarceSubjects.has(subject)) {
 		return 0;
 	}
 
--- a/packages/quota/src/get-uncapped-level.ts
+++ b/packages/quota/src/get-uncapped-level.ts
@@ -2,5 +2,5 @@
 
 const MS_PER_SECOND = 1000;
 
-/** What a subject's bucket would hold now if it had no brim. */
+/** Returns the units that a subject's bucket would hold now if its capacity were unlimited. */
 export const getUncappedLevel = ({quota, level, levelAt}: SubjectAccount, now: number): number => level + (quota.perSecond * (now - levelAt) / MS_PER_SECOND);
--- a/packages/quota/src/is-scarce.ts
+++ b/packages/quota/src/is-scarce.ts
@@ -3,9 +3,12 @@
 import type {QuotaLedger} from './quota-ledger.js';
 import type {SubjectAccount} from './subject-account.js';
 
-/** A subject whose bucket is below this part of its brim has used much of its quota lately. */
+/** Share of the bucket capacity below which a quota is scarce, as the subject has used much of it recently. */
 const SCARCE_LEVEL_SHARE = 0.7;
 
-/** Whether what is left of a subject's quota is kept for requests that are there, wherever they come, and nothing lies in stock for others. */
+/**
+ * True if the remaining quota of a subject is reserved for waiting requests at any process, so that no process keeps units in stock for future
+ * requests.
+ */
 export const isScarce = (ledger: QuotaLedger, account: SubjectAccount, now: number): boolean =>
 	getUncappedLevel(account, now) < getBucketCapacity(ledger.tolerance, account.quota) * SCARCE_LEVEL_SHARE;
--- a/packages/quota/src/limit-book.ts
+++ b/packages/quota/src/limit-book.ts
@@ -1,10 +1,10 @@
-/** A limit that an upstream has named. */
+/** A rate limit that an upstream announced in a response. */
 type AnnouncedLimit = {
-	/** Requests a second from all processes together. */
+	/** Requests per second from all processes together. */
 	readonly perSecond: number;
-	/** When an answer named it last, in monotonic milliseconds. */
+	/** Time of the last response that announced the limit, in monotonic milliseconds. */
 	readonly namedAt: number;
 };
 
-/** The limits that upstreams have named, by run of the upstream. */
+/** Rate limits announced by upstreams, by run id of the upstream. */
 export type LimitBook = Map<string, AnnouncedLimit>;
--- a/packages/quota/src/limit-sighting.ts
+++ b/packages/quota/src/limit-sighting.ts
@@ -1,8 +1,8 @@
-/** What an answer of an upstream said of the requests that it takes. */
+/** Rate limit announced in one response of an upstream, or its absence. */
 export type LimitSighting = {
 	readonly upstreamId: string;
-	/** Requests a second from all processes together; undefined where the answer named no limit. */
+	/** Requests per second from all processes together; undefined if the response announced no limit. */
 	readonly perSecond: number | undefined;
-	/** When it was seen, in monotonic milliseconds of whoever takes it. */
+	/** Time of the response, in monotonic milliseconds of the process that records it. */
 	readonly at: number;
 };
--- a/packages/quota/src/loan-ms.ts
+++ b/packages/quota/src/loan-ms.ts
@@ -1,5 +1,5 @@
 /**
- * How long a loan is valid after the borrower asked for it or confirmed it, in milliseconds: longer than it takes until another leader is found, so that
- * borrowers go on meanwhile.
+ * Time for which a loan is valid after the borrower requested or confirmed it, in milliseconds. It is longer than the election of another leader
+ * takes, so that borrowers can serve requests meanwhile.
  */
 export const LOAN_MS = 4000;
--- a/packages/quota/src/loan.ts
+++ b/packages/quota/src/loan.ts
@@ -1,8 +1,8 @@
-/** What is lent of one subject's quota. */
+/** Units of one subject's quota that the leader lends to a process. */
 export type Loan = {
 	readonly subject: string;
-	/** Units. */
+	/** Units lent. */
 	readonly amount: number;
-	/** Until there is enough for the first request that waits and got none, in milliseconds; 0 where all got theirs. */
+	/** Time until the quota suffices for the first waiting request that was not served, in milliseconds; 0 if all waiting requests are served. */
 	readonly waitMs: number;
 };
--- a/packages/quota/src/max-lent-share.ts
+++ b/packages/quota/src/max-lent-share.ts
@@ -1,5 +1,5 @@
 /**
- * The most of what a subject may have in hand that is lent out at once. A new leader does not know what the one before it had lent, so for the time of
- * a loan it lends no more than the rest.
+ * Maximum share of the bucket capacity that is lent at any time. A new leader does not know what the previous leader lent, so it lends no more
+ * than the rest until all previous loans have expired.
  */
 export const MAX_LENT_SHARE = 0.75;
--- a/packages/quota/src/mutate-borrowed.ts
+++ b/packages/quota/src/mutate-borrowed.ts
@@ -4,15 +4,18 @@
 import type {Loan} from './loan.js';
 import type {QuotaStock} from './quota-stock.js';
 
-/** What a leader tells a borrower: its loans, its term, and until when all of its loans are valid by the borrower's clock. */
+/** New loans from a leader to a process. */
 type LoanGrant = {
+	/** Term of the leader. */
 	readonly term: number;
 	readonly loans: ReadonlyArray<Pick<Loan, 'subject' | 'amount'>>;
+	/** When all loans of this term expire, by the borrower's monotonic clock in milliseconds. */
 	readonly validUntil: number;
+	/** Subjects whose remaining quota the leader reserves for waiting requests. */
 	readonly scarceSubjects: readonly string[];
 };
 
-/** Takes loans, which confirm those of the same leadership that have not ended. */
+/** Adds new loans to the stock of a process. They also extend all loans of the same term that have not expired. */
 export const mutateBorrowed = (stock: QuotaStock, {term, loans, validUntil, scarceSubjects}: LoanGrant, now: number): void => {
 	if (stock.current.term !== term) {
 		mutateSession(stock, term);
@@ -21,7 +24,7 @@
 	}
 
 	stock.current.validUntil = Math.max(stock.current.validUntil, validUntil);
-	stock.scarce = new Set(scarceSubjects);
+	stock.scarceSubjects = new Set(scarceSubjects);
 	for (const {subject, amount} of loans) {
 		getSubjectStock(stock.current, subject).free += amount;
 	}
--- a/packages/quota/src/mutate-bucket-level.ts
+++ b/packages/quota/src/mutate-bucket-level.ts
@@ -3,7 +3,7 @@
 import type {QuotaLedger} from './quota-ledger.js';
 import type {SubjectAccount} from './subject-account.js';
 
-/** Fills a subject's bucket up to the present. */
+/** Refills a subject's bucket for the time since its last update, up to its capacity. */
 export const mutateBucketLevel = (ledger: QuotaLedger, account: SubjectAccount, now: number): void => {
 	account.level = Math.min(getCurrentBucketCapacity(ledger, account.quota, now), getUncappedLevel(account, now));
 	account.levelAt = now;
--- a/packages/quota/src/mutate-loan.ts
+++ b/packages/quota/src/mutate-loan.ts
@@ -11,10 +11,13 @@
 
 const MS_PER_SECOND = 1000;
 
-/** The part of a bucket that is kept for requests that wait, wherever they come; only the rest is lent for requests to come. */
+/** Share of the bucket capacity that is reserved for waiting requests at any process; only units beyond it are lent for future requests. */
 const WAITING_RESERVE_SHARE = 0.35;
 
-/** The units that serve the first of the needs, as far as they go; what is left over would serve nobody here. */
+/**
+ * Returns the units that serve as many of the needs in their order as `free` allows, and the first need that is not served. The rest of `free`
+ * serves no request here.
+ */
 const getServedNeeds = (needs: readonly number[], free: number): {readonly amount: number; readonly missing: number | undefined} => {
 	let amount = 0;
 	for (const need of needs) {
@@ -28,7 +31,7 @@
 	return {amount, missing: undefined};
 };
 
-/** What is lent for requests to come. A part of a request would serve nobody. */
+/** Returns the units to lend for future requests. Units of whole requests are rounded down, as a part of a request is of no use. */
 const getLendableUnits = ({unit}: Quota, amount: number): number => unit === QUOTA_UNIT.Request ? Math.floor(amount) : amount;
 
 const getLoan = (ledger: QuotaLedger, account: SubjectAccount, {subject, wanted, needs}: SubjectUsage, now: number): Loan => {
@@ -44,7 +47,7 @@
 	return {subject, amount: amount + getLendableUnits(quota, Math.min(wanted, surplus)), waitMs: 0};
 };
 
-/** Lends a borrower what it asks for, as far as there is enough; undefined where it asks for nothing or the subject has no quota. */
+/** Lends a borrower the units that it requests, as far as available. Returns undefined if it requests nothing or the subject has no quota. */
 export const mutateLoan = (ledger: QuotaLedger, borrowerId: string, usage: SubjectUsage, now: number): Loan | undefined => {
 	const account = ledger.accounts.get(usage.subject);
 	if (!account || (usage.wanted <= 0 && usage.needs.length === 0)) {
--- a/packages/quota/src/mutate-lost-loans.ts
+++ b/packages/quota/src/mutate-lost-loans.ts
@@ -1,7 +1,7 @@
 import {mutateEndedLoan} from './mutate-ended-loan.js';
 import type {QuotaLedger} from './quota-ledger.js';
 
-/** Counts as used what silent borrowers held, once they cannot use it any more. */
+/** Ends the loans of borrowers that no longer report, once the loans have expired. All their units count as used. */
 export const mutateLostLoans = (ledger: QuotaLedger, now: number): void => {
 	for (const [id, {amounts, expiresAt}] of ledger.borrowers) {
 		if (now < expiresAt) {
--- a/packages/quota/src/mutate-named-limit.ts
+++ b/packages/quota/src/mutate-named-limit.ts
@@ -1,10 +1,13 @@
 import type {LimitBook} from './limit-book.js';
 import type {LimitSighting} from './limit-sighting.js';
 
-/** A limit is raised or ended only by answers that came so much later than the last one that named it, in milliseconds: those of several processes overtake each other. */
+/**
+ * Time since the last response that announced a limit after which a later response may raise or end the limit, in milliseconds. Without it, a
+ * delayed report from one process could undo a newer limit from another process.
+ */
 const LIMIT_HOLD_MS = 1000;
 
-/** Takes what an answer said; returns whether the limit in force has changed. A lower limit is in force at once. */
+/** Updates the limit of an upstream from one of its responses; returns true if the limit changed. A lower limit applies at once. */
 export const mutateNamedLimit = (table: LimitBook, {upstreamId, perSecond, at}: LimitSighting): boolean => {
 	const known = table.get(upstreamId);
 	if (known === undefined) {
--- a/packages/quota/src/mutate-quotas.ts
+++ b/packages/quota/src/mutate-quotas.ts
@@ -16,7 +16,7 @@
 	mutateBucketLevel(ledger, account, now);
 };
 
-/** Takes the quotas in force. What is lent stays lent, also of a subject that has no quota any more. */
+/** Replaces the quotas in force. Loans remain, even those of a subject that no longer has a quota. */
 export const mutateQuotas = (ledger: QuotaLedger, quotas: ReadonlyMap<string, Quota>, now: number): void => {
 	for (const [subject, quota] of quotas) {
 		mutateQuota(ledger, subject, quota, now);
--- a/packages/quota/src/mutate-reserved.ts
+++ b/packages/quota/src/mutate-reserved.ts
@@ -1,7 +1,7 @@
 import type {QuotaStock} from './quota-stock.js';
 import type {Reservation} from './reservation.js';
 
-/** Takes the units of a request from the stock; undefined where there are not enough. */
+/** Reserves the units of a request in the stock; returns undefined if there are not enough. */
 export const mutateReserved = ({previous, current}: QuotaStock, subject: string, cost: number, now: number): Reservation | undefined => {
 	for (const {subjects, validUntil} of [previous, current]) {
 		const stock = subjects.get(subject);
--- a/packages/quota/src/mutate-session.ts
+++ b/packages/quota/src/mutate-session.ts
@@ -1,9 +1,10 @@
 import {newSessionStock} from './new-session-stock.js';
 import type {QuotaStock} from './quota-stock.js';
 
+/** True if the current session has no free units left. */
 const isEmpty = (stock: QuotaStock): boolean => [...stock.current.subjects.values()].every(({free}) => free === 0);
 
-/** Begins with another leader, or a new session with the same one, which knows nothing of what was lent before. */
+/** Starts a session with a new leader, or a new session with the same leader. The leader does not know the loans of the previous session. */
 export const mutateSession = (stock: QuotaStock, term?: number): void => {
 	if (!isEmpty(stock)) {
 		stock.previous = stock.current;
--- a/packages/quota/src/mutate-settled.ts
+++ b/packages/quota/src/mutate-settled.ts
@@ -1,6 +1,6 @@
 import type {Reservation} from './reservation.js';
 
-/** Takes that a request has begun to run, or that it never will. */
+/** Ends a reservation: its units count as used if the request has begun to run, and are free again if it never will. */
 export const mutateSettled = ({stock, cost}: Reservation, isUsed: boolean): void => {
 	stock.reserved -= cost;
 	if (isUsed) {
--- a/packages/quota/src/mutate-subject-report.ts
+++ b/packages/quota/src/mutate-subject-report.ts
@@ -3,11 +3,12 @@
 import type {QuotaStock} from './quota-stock.js';
 import type {SubjectUsage} from './subject-usage.js';
 
-/** A stock is filled up once it is below this part of what is wanted, and given back above this many times of it. */
+/** A process borrows more units once its stock is below this share of the target. */
 const REFILL_BELOW_SHARE = 0.5;
+/** A process returns units once its stock is above the target times this factor. */
 const RETURN_ABOVE_FACTOR = 2;
 
-/** What is told of one subject in the next report; undefined where there is no news. The amounts count as told. */
+/** Returns the next report on one subject, or undefined if there is nothing to report. Resets the reported amounts in the stock. */
 export const mutateSubjectReport = (stock: QuotaStock, subject: string, needs: readonly number[], now: number): SubjectUsage | undefined => {
 	const subjectStock = getSubjectStock(stock.current, subject);
 	const target = getTargetStock(stock, subject, now);
--- a/packages/quota/src/mutate-usage.ts
+++ b/packages/quota/src/mutate-usage.ts
@@ -2,7 +2,10 @@
 import type {QuotaLedger} from './quota-ledger.js';
 import type {SubjectUsage} from './subject-usage.js';
 
-/** Takes what a borrower has used and gives back. What it does not hold here was lent by another leader, or has counted as used. */
+/**
+ * Records units that a borrower reports as used or returned. Units beyond its loans in this ledger are ignored: another leader lent them, or they
+ * already counted as used.
+ */
 export const mutateUsage = (ledger: QuotaLedger, borrowerId: string, {subject, used, returned}: SubjectUsage, now: number): void => {
 	const borrower = ledger.borrowers.get(borrowerId);
 	const account = ledger.accounts.get(subject);
--- a/packages/quota/src/new-expired-stock.ts
+++ b/packages/quota/src/new-expired-stock.ts
@@ -2,8 +2,8 @@
 import type {SessionStock} from './session-stock.js';
 
 /**
- * A book in place of one whose loans have ended, which the leader may count as used by now: what is free is given back, and what requests hold counts
- * as used.
+ * Creates the stock that replaces one whose loans have expired, as the leader may count them as used by now. Free units are returned, and units
+ * reserved for requests count as used.
  */
 export const newExpiredStock = ({term, subjects}: SessionStock): SessionStock => {
 	const expired = newSessionStock(term);
--- a/packages/quota/src/new-quota-stock.ts
+++ b/packages/quota/src/new-quota-stock.ts
@@ -1,7 +1,7 @@
 import {newSessionStock} from './new-session-stock.js';
 import type {QuotaStock} from './quota-stock.js';
 
-/** The stock of a process that has just started. */
+/** Creates the empty stock of a process that has just started. */
 export const newQuotaStock = (): QuotaStock => ({
-	current: newSessionStock(), previous: newSessionStock(), scarce: new Set(), demands: new Map(), meanCost: 0,
+	current: newSessionStock(), previous: newSessionStock(), scarceSubjects: new Set(), demands: new Map(), meanCost: 0,
 });
--- a/packages/quota/src/new-session-stock.ts
+++ b/packages/quota/src/new-session-stock.ts
@@ -1,4 +1,4 @@
 import type {SessionStock} from './session-stock.js';
 
-/** Nothing borrowed yet. */
+/** Creates an empty stock for a session in which nothing has been borrowed yet. */
 export const newSessionStock = (term = -1): SessionStock => ({term, subjects: new Map(), validUntil: Number.NEGATIVE_INFINITY});
--- a/packages/quota/src/quota-ledger.ts
+++ b/packages/quota/src/quota-ledger.ts
@@ -3,14 +3,16 @@
 import type {SubjectAccount} from './subject-account.js';
 
 /**
- * A leader's account of all quotas. Each subject has a bucket that fills at its rate; what processes use is lent to them first. Use shows late, and the
- * bucket does not fill beyond its brim meanwhile, so what is used in any span is at most the brim and the rate over the span. A loan whose holder is silent
- * counts as used when it ends.
+ * The leader's accounts of all quotas. Each subject has a token bucket that refills at the rate of its quota, and processes borrow units from it
+ * before they use them. Usage is subtracted when it is reported; until then the full bucket does not refill beyond its capacity, so the usage in
+ * any window is at most the capacity plus the rate times the window. A loan whose borrower does not report counts as used when it expires.
  */
 export type QuotaLedger = {
 	readonly tolerance: QuotaTolerance;
+	/** Start of the term of the leader, in monotonic milliseconds. */
 	readonly startedAt: number;
+	/** Accounts by subject. */
 	readonly accounts: Map<string, SubjectAccount>;
-	/** By session. */
+	/** Borrowers by session id. */
 	readonly borrowers: Map<string, Borrower>;
 };
--- a/packages/quota/src/quota-stock.ts
+++ b/packages/quota/src/quota-stock.ts
@@ -1,14 +1,18 @@
 import type {SessionStock} from './session-stock.js';
 import type {SubjectDemand} from './subject-demand.js';
 
-/** All that a process has borrowed, and what it is asked for. */
+/** Units that a process has borrowed, and the demand that it has seen. */
 export type QuotaStock = {
+	/** Units borrowed in the current session with the leader. */
 	current: SessionStock;
-	/** From the session before, which its leader may have forgotten: used up, and never reported. */
+	/**
+	 * Units borrowed in the previous session. Requests may use them until they expire; they are never reported, as the leader may not know them.
+	 */
 	previous: SessionStock;
-	/** Subjects of which nothing is kept in stock, as the leader says. */
-	scarce: ReadonlySet<string>;
+	/** Subjects for which the process keeps nothing in stock, as received from the leader. */
+	scarceSubjects: ReadonlySet<string>;
+	/** Recent demand by subject. */
 	readonly demands: Map<string, SubjectDemand>;
-	/** What a request counted lately, on average. */
+	/** Moving average of the cost of a request, in units. */
 	meanCost: number;
 };
--- a/packages/quota/src/quota-tolerance.ts
+++ b/packages/quota/src/quota-tolerance.ts
@@ -1,9 +1,9 @@
-/** How far the processes together may go beyond a quota, as they decide apart from each other. */
+/** How far all processes together may exceed a quota; they need the tolerance because each decides without asking the leader every time. */
 export type QuotaTolerance = {
-	/** The span over which use is counted, in milliseconds. */
+	/** Length of the window over which usage is counted, in milliseconds. */
 	readonly windowMs: number;
-	/** The share of what a quota allows in such a span that may come on top of it. */
+	/** Allowed excess in a window, as a share of what the quota allows in it. */
 	readonly overshoot: number;
-	/** Units that may come on top of that. */
+	/** Allowed excess in a window beyond `overshoot`, in units. */
 	readonly slack: number;
 };
--- a/packages/quota/src/quota-unit-value.ts
+++ b/packages/quota/src/quota-unit-value.ts
@@ -1,4 +1,4 @@
 import type {QUOTA_UNIT} from './quota-unit.js';
 
-/** One of the values of QUOTA_UNIT. */
+/** A value of `QUOTA_UNIT`. */
 export type QuotaUnitValue = (typeof QUOTA_UNIT)[keyof typeof QUOTA_UNIT];
--- a/packages/quota/src/quota.ts
+++ b/packages/quota/src/quota.ts
@@ -1,12 +1,12 @@
 import type {QuotaUnitValue} from './quota-unit-value.js';
 
-/** What may be asked over all processes together, by a subject: whoever is counted under one name, such as a team. */
+/** Rate limit of one subject over all processes. A subject is whatever is counted under one name, such as a team. */
 export type Quota = {
 	readonly unit: QuotaUnitValue;
-	/** Units a second, in the long run. */
+	/** Sustained rate in units per second. */
 	readonly perSecond: number;
-	/** Units beyond that at any moment. */
+	/** Units that may be used at once beyond the sustained rate. */
 	readonly burst: number;
-	/** What a request that names no tokens counts, where tokens are counted. */
+	/** Cost in tokens of a request that does not state its tokens, for quotas in tokens. */
 	readonly plainTokens: number;
 };
--- a/packages/quota/src/session-stock.ts
+++ b/packages/quota/src/session-stock.ts
@@ -1,10 +1,11 @@
 import type {SubjectStock} from './subject-stock.js';
 
-/** What a process has borrowed in one session with one leader. */
+/** Units that a process has borrowed in one session with one leader. */
 export type SessionStock = {
-	/** The leadership that lent it; -1 before the first loan. */
+	/** Term of the leader that lent the units; -1 before the first loan. */
 	term: number;
+	/** Units by subject. */
 	readonly subjects: Map<string, SubjectStock>;
-	/** Until when it may be used, in the borrower's own milliseconds. */
+	/** When the loans expire, in monotonic milliseconds of the borrower. */
 	validUntil: number;
 };
--- a/packages/quota/src/subject-account.ts
+++ b/packages/quota/src/subject-account.ts
@@ -1,11 +1,12 @@
 import type {Quota} from './quota.js';
 
-/** What the leader knows of a subject's quota. Amounts in the quota's unit, times in monotonic milliseconds. */
+/** The leader's token bucket for the quota of one subject. Amounts are in units of the quota, times in monotonic milliseconds. */
 export type SubjectAccount = {
 	quota: Quota;
-	/** What the subject may still use at once, lent amounts included. */
+	/** Units in the bucket at `levelAt`; they include lent units. */
 	level: number;
+	/** Time of the last update of `level`. */
 	levelAt: number;
-	/** What is lent and not known to be used or given back; at most the level, unless a quota has just been lowered. */
+	/** Lent units that are not reported as used or returned; at most `level`, unless the quota has just been lowered. */
 	lent: number;
 };
--- a/packages/quota/src/subject-stock.ts
+++ b/packages/quota/src/subject-stock.ts
@@ -1,10 +1,11 @@
-/** What a process holds of one subject's quota, from one session with one leader. */
+/** Units of one subject's quota that a process has borrowed in one session with a leader. */
 export type SubjectStock = {
 	/** Units that requests may still take. */
 	free: number;
-	/** Units of requests that wait for an upstream. */
+	/** Units of requests that wait for an upstream to begin them. */
 	reserved: number;
-	/** Units that were used and that were given back since the last report. */
+	/** Units used since the last report. */
 	used: number;
+	/** Units to return with the next report. */
 	returned: number;
 };
--- a/packages/quota/src/subject-usage.ts
+++ b/packages/quota/src/subject-usage.ts
@@ -1,12 +1,12 @@
-/** What a process tells of one subject since its last report. */
+/** Report of a process on one subject since its previous report. */
 export type SubjectUsage = {
 	readonly subject: string;
 	/** Units that requests have used. */
 	readonly used: number;
-	/** Units that it gives back. */
+	/** Borrowed units that the process returns unused. */
 	readonly returned: number;
-	/** Units that it would like to have in hand for requests to come. */
+	/** Units that the process wants to borrow for future requests. */
 	readonly wanted: number;
-	/** What each of the requests that wait for units counts, in the order in which they are served. */
+	/** Cost in units of each request that waits for units, in the order in which they are served. */
 	readonly needs: readonly number[];
 };
--- a/packages/quota/tests/quota.steps.ts
+++ b/packages/quota/tests/quota.steps.ts
@@ -143,8 +143,8 @@
 	}), {numRuns: runs, seed: SEED});
 });
 
-const simulateSmallTeam = (world: QuotaWorld, terms: {readonly share: number; readonly gateways: number; readonly clump: number; readonly leaderlessMs: number}): void => {
-	const {share, gateways, clump, leaderlessMs} = terms;
+const simulateSmallTeam = (world: QuotaWorld, options: {readonly share: number; readonly gateways: number; readonly batchSize: number; readonly leaderlessMs: number}): void => {
+	const {share, gateways, batchSize, leaderlessMs} = options;
 	world.models = Array.from({length: TRAFFIC_RUNS}, () => new QuotaModel(gateways, SMALL_QUOTA, SMALL_TOLERANCE));
 	world.counts = world.models.map((model, run) => {
 		model.advance(TRAFFIC_MS);
@@ -152,28 +152,28 @@
 			random: xoroshiro128plus(SEED + run),
 			perSecond: share * SMALL_QUOTA.perSecond / COST,
 			cost: COST,
-			batchSize: clump,
+			batchSize,
 			durationMs: TRAFFIC_MS,
 			leaderless: {from: LEADERLESS_FROM_MS, durationMs: leaderlessMs},
 		});
 	});
 };
 
-When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways', function (this: QuotaWorld, share: number, clump: number, gateways: number) {
+When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways', function (this: QuotaWorld, share: number, batchSize: number, gateways: number) {
 	simulateSmallTeam(this, {
-		share, gateways, clump, leaderlessMs: 0,
+		share, gateways, batchSize, leaderlessMs: 0,
 	});
 });
 
 When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways, {int} ms of the time without a leader', function (
 	this: QuotaWorld,
 	share: number,
-	clump: number,
+	batchSize: number,
 	gateways: number,
 	leaderlessMs: number,
 ) {
 	simulateSmallTeam(this, {
-		share, gateways, clump, leaderlessMs,
+		share, gateways, batchSize, leaderlessMs,
 	});
 });
 
--- a/packages/quota/tests/simulate-traffic.ts
+++ b/packages/quota/tests/simulate-traffic.ts
@@ -51,8 +51,8 @@
 	}
 }
 
-const sendBatch = (model: QuotaModel, {random, cost, batchSize: clump}: TrafficOptions, reference: ReferenceBucket, isLed: boolean, counts: TrafficCounts): void => {
-	for (let index = 0; index < clump; index += 1) {
+const sendBatch = (model: QuotaModel, {random, cost, batchSize}: TrafficOptions, reference: ReferenceBucket, isLed: boolean, counts: TrafficCounts): void => {
+	for (let index = 0; index < batchSize; index += 1) {
 		const gateway = uniformInt(random, 0, model.gateways.length - 1);
 		const isAllowed = reference.take(model.now, cost);
 		model.recordDemand(gateway, cost);
@@ -74,16 +74,16 @@
 };
 
 /** Requests of one team at random gateways, with the gateways' reports between them; each one runs as soon as it may. */
-export const simulateTraffic = (model: QuotaModel, terms: TrafficOptions): TrafficCounts => {
+export const simulateTraffic = (model: QuotaModel, options: TrafficOptions): TrafficCounts => {
 	const counts: TrafficCounts = {
 		sent: 0, refusedAllowed: 0, sentLeaderless: 0, refusedLeaderless: 0,
 	};
-	const {random, perSecond, batchSize: clump, durationMs: lengthMs, leaderless} = terms;
-	const share = perSecond * STEP_MS / MS_PER_SECOND / clump;
-	const begunAt = model.now;
-	const reference = new ReferenceBucket(model.quota, begunAt);
+	const {random, perSecond, batchSize, durationMs, leaderless} = options;
+	const batchesPerStep = perSecond * STEP_MS / MS_PER_SECOND / batchSize;
+	const startedAt = model.now;
+	const reference = new ReferenceBucket(model.quota, startedAt);
 	let wasLed = true;
-	for (let at = 0; at < lengthMs; at += STEP_MS) {
+	for (let at = 0; at < durationMs; at += STEP_MS) {
 		const isLed = at < leaderless.from || at >= leaderless.from + leaderless.durationMs;
 		if (isLed && !wasLed) {
 			model.changeLeader();
@@ -97,12 +97,12 @@
 			}
 		}
 
-		const clumps = Math.floor(share) + (uniformFloat64(random) < share % 1 ? 1 : 0);
-		for (let index = 0; index < clumps; index += 1) {
-			sendBatch(model, terms, reference, isLed, counts);
+		const batchCount = Math.floor(batchesPerStep) + (uniformFloat64(random) < batchesPerStep % 1 ? 1 : 0);
+		for (let index = 0; index < batchCount; index += 1) {
+			sendBatch(model, options, reference, isLed, counts);
 		}
 
-		model.advance(begunAt + at + STEP_MS - model.now);
+		model.advance(startedAt + at + STEP_MS - model.now);
 	}
 
 	return counts;
