--- a/packages/quota/tests/model-step.ts
+++ b/packages/quota/tests/model-step.ts
@@ -9,7 +9,7 @@
 
 const newStep = <Kind extends string>(kind: Kind) => fc.record({kind: fc.constant(kind), index: INDEX});
 
-/** One event in a random history of quotas. */
+/** Generates one event in a random history of requests, reports, sessions and leaders. */
 export const MODEL_STEP = fc.oneof(
 	{weight: 6, arbitrary: fc.record({kind: fc.constant('pass' as const), ms: fc.integer({min: 1, max: MAX_ADVANCE_MS})})},
 	{weight: 10, arbitrary: fc.record({kind: fc.constant('ask' as const), index: INDEX, costs: fc.array(COST, {minLength: 1, maxLength: 6})})},
--- a/packages/quota/tests/quota-model.ts
+++ b/packages/quota/tests/quota-model.ts
@@ -4,35 +4,39 @@
 	mutateSubjectReport, mutateUsage, newQuotaLedger, newQuotaStock,
 } from '@valelead/quota';
 
+/** A simulated gateway that borrows from the leader. */
 type ModelGateway = {
 	stock: QuotaStock;
 	session: number;
-	/** What the leader answered and has not arrived yet. */
+	/** Response of the leader that has not arrived yet. */
 	pending: {readonly term: number; readonly loans: readonly Loan[]; readonly reportedAt: number; readonly scarceSubjects: readonly string[]} | undefined;
-	readonly held: HeldReservation[];
+	/** Reservations of requests in progress, oldest first. */
+	readonly reservations: HeldReservation[];
 	needs: number[];
 };
 
+/** A reservation of a request in progress, and the use that it is counted as. */
 type HeldReservation = {
 	readonly reservation: Reservation;
 	readonly use: Use;
 };
 
-/** Units that a request has taken, and when it arrived. */
+/** Units that a request has taken, and the time of its arrival. */
 type Use = {
 	readonly at: number;
 	readonly cost: number;
+	/** True if the request ended without having run. */
 	isReleased: boolean;
 };
 
 const TEAM = 'team';
 
-/** Gateways, one team and one leader after the other, without a network. Times in milliseconds. */
+/** Simulates gateways, one team and a sequence of leaders in virtual time and without a network. Times are in milliseconds. */
 export class QuotaModel {
 	now = 0;
 	readonly uses: Use[] = [];
 	readonly gateways: ModelGateway[];
-	/** Reports that reached a leader. */
+	/** Number of reports that reached a leader. */
 	reportCount = 0;
 	readonly #tolerance: QuotaTolerance;
 	#ledger: QuotaLedger;
@@ -48,7 +52,7 @@
 		return this.#ledger;
 	}
 
-	/** Lets time pass, with the leader's own checks. */
+	/** Advances the virtual time; the leader then ends expired loans. */
 	advance(ms: number): void {
 		this.now += ms;
 		mutateLostLoans(this.#ledger, this.now);
@@ -59,7 +63,7 @@
 		mutateQuotas(this.#ledger, new Map([[TEAM, quota]]), this.now);
 	}
 
-	/** Whether a gateway can serve a request now. */
+	/** Reserves units for a request at a gateway; returns false if the gateway does not have enough. */
 	serve(index: number, cost: number): boolean {
 		const gateway = this.gateways[index];
 		const reservation = mutateReserved(gateway.stock, TEAM, cost, this.now);
@@ -69,7 +73,7 @@
 
 		const use = {at: this.now, cost, isReleased: false};
 		this.uses.push(use);
-		gateway.held.push({reservation, use});
+		gateway.reservations.push({reservation, use});
 		return true;
 	}
 
@@ -77,13 +81,13 @@
 		mutateDemand(this.gateways[index].stock, TEAM, cost, this.now);
 	}
 
-	/** A report and its answer. */
+	/** Sends a report to the leader and delivers its response. */
 	exchange(index: number, needs: readonly number[] = []): Loan | undefined {
 		this.report(index, needs);
 		return this.deliver(index);
 	}
 
-	/** A report that reaches the leader; its answer is on its way. */
+	/** Sends a report to the leader; the response stays pending until it is delivered. */
 	report(index: number, needs: readonly number[] = []): void {
 		const gateway = this.gateways[index];
 		const usage = this.#takeUsage(gateway, needs);
@@ -96,7 +100,7 @@
 		};
 	}
 
-	/** The answer to the last report arrives. */
+	/** Delivers the pending response to the last report. */
 	deliver(index: number): Loan | undefined {
 		const gateway = this.gateways[index];
 		const {pending} = gateway;
@@ -109,7 +113,7 @@
 		return pending.loans[0];
 	}
 
-	/** The connection breaks; what was on its way is lost. */
+	/** Breaks the connection to the leader, so that a report and a pending response are lost, and starts a new session. */
 	reconnect(index: number): void {
 		const gateway = this.gateways[index];
 		this.#takeUsage(gateway, []);
@@ -118,21 +122,21 @@
 		mutateSession(gateway.stock);
 	}
 
-	/** Requests of the gateway that is gone may have run. */
+	/** Replaces a gateway by a new one with an empty stock. Requests of the old gateway may have run. */
 	restart(index: number): void {
 		this.gateways[index] = {...this.#newGateway(), session: this.gateways[index].session + 1};
 	}
 
-	/** The oldest request that is held ends. */
+	/** Ends the oldest request in progress at a gateway. */
 	settle(index: number, hasRun: boolean): void {
-		const held = this.gateways[index].held.shift();
+		const held = this.gateways[index].reservations.shift();
 		if (held) {
 			mutateSettled(held.reservation, hasRun);
 			held.use.isReleased = !hasRun;
 		}
 	}
 
-	/** Another voter leads; it knows nothing of what was lent. */
+	/** Replaces the leader by another one, which knows no loans. */
 	changeLeader(): void {
 		this.#term += 1;
 		this.#ledger = this.#newLedger();
@@ -141,7 +145,7 @@
 		}
 	}
 
-	/** The most that ran of what arrived in a span of this length. */
+	/** Returns the maximum number of used units of requests that arrived within any window of this length. */
 	getMaxUsed(spanMs: number): number {
 		const uses = this.uses.filter(({isReleased}) => !isReleased);
 		return Math.max(0, ...uses.map(first => uses.reduce((sum, {at, cost}) => sum + (at >= first.at && at < first.at + spanMs ? cost : 0), 0)));
@@ -164,7 +168,7 @@
 
 	#newGateway(): ModelGateway {
 		return {
-			stock: newQuotaStock(), session: 1, pending: undefined, held: [], needs: [],
+			stock: newQuotaStock(), session: 1, pending: undefined, reservations: [], needs: [],
 		};
 	}
 }
--- a/packages/quota/tests/quota.steps.ts
+++ b/packages/quota/tests/quota.steps.ts
@@ -25,7 +25,7 @@
 const TRAFFIC_RUNS = 30;
 const HISTORY_STEPS = 80;
 
-/** A small team: four of its requests make up what it may ask in a second. */
+/** Quota of a small team, which allows four of its requests per second. */
 const SMALL_QUOTA: Quota = {
 	unit: QUOTA_UNIT.Token, perSecond: 4000, burst: 4000, plainTokens: 1,
 };
@@ -34,13 +34,13 @@
 const TRAFFIC_MS = 30_000;
 const LEADERLESS_FROM_MS = 15_000;
 
-/** Loans at a time while borrowing all that there is. */
+/** Interval at which a gateway borrows all available units. */
 const BORROW_INTERVAL_MS = 100;
 
-/** Units of the most urgent kind are whole; sums of fractions are not. */
+/** Tolerance in units for rounding errors: requests take whole units, but sums of fractional units are inexact. */
 const ROUNDING = 0.5;
 
-/** What a quota allows in a span, and beyond it. */
+/** Returns the maximum number of units that may be used within a window of the tolerance: what the quota allows, and the tolerance. */
 const getMaxInWindow = ({perSecond, burst}: Quota, {windowMs, overshoot, slack}: QuotaTolerance): number =>
 	((burst + (perSecond * windowMs / MS_PER_SECOND)) * (1 + overshoot)) + slack;
 
@@ -69,7 +69,7 @@
 	this.model.recordDemand(gateway - 1, cost);
 });
 
-When('gateway {int} asks for {string} units', function (this: QuotaWorld, gateway: number, text: string) {
+When('gateway {int} requests {string} units', function (this: QuotaWorld, gateway: number, text: string) {
 	const costs = text.split(', ').map(Number);
 	this.loan = this.model.exchange(gateway - 1, costs);
 	for (const cost of costs) {
@@ -89,7 +89,7 @@
 	this.model.exchange(gateway - 1);
 });
 
-When('another leader begins', function (this: QuotaWorld) {
+When('another leader takes over the quotas', function (this: QuotaWorld) {
 	this.model.changeLeader();
 });
 
@@ -101,11 +101,11 @@
 	this.model.setQuota(newQuota(perSecond, burst));
 });
 
-Then('it is lent {int} units and told to wait for {int} ms', function (this: QuotaWorld, amount: number, waitMs: number) {
+Then('it is lent {int} units and has to wait for {int} ms', function (this: QuotaWorld, amount: number, waitMs: number) {
 	assert.deepEqual({amount: this.loan?.amount, waitMs: this.loan?.waitMs}, {amount, waitMs});
 });
 
-Then('the team may use {int} units, of which {int} are lent', function (this: QuotaWorld, level: number, lent: number) {
+Then('the bucket of the team holds {int} units, {int} of which are lent', function (this: QuotaWorld, level: number, lent: number) {
 	const account = this.model.ledger.accounts.get(TEAM)!;
 	assert.deepEqual({level: Math.round(account.level), lent: Math.round(account.lent)}, {level, lent});
 });
@@ -118,7 +118,7 @@
 	assert.ok(!this.model.serve(gateway - 1, cost));
 });
 
-Then('no more than the lower quota and its tolerance can be borrowed in a span', function (this: QuotaWorld) {
+Then('no more than the lower quota and its tolerance can be borrowed in a window', function (this: QuotaWorld) {
 	const {model, tolerance} = this;
 	let borrowed = 0;
 	for (let at = 0; at < tolerance.windowMs; at += BORROW_INTERVAL_MS) {
@@ -133,7 +133,7 @@
 	assert.ok(borrowed <= most, `${borrowed} of ${most}`);
 });
 
-Then('in {int} random histories no span holds more than the quota and its tolerance', {timeout: 60_000}, function (this: QuotaWorld, runs: number) {
+Then('in {int} random histories the usage in each window is within the quota and its tolerance', {timeout: 60_000}, function (this: QuotaWorld, runs: number) {
 	const {quota, tolerance} = this;
 	const most = getMaxInWindow(quota, tolerance);
 	fc.assert(fc.property(fc.array(MODEL_STEP, {minLength: 10, maxLength: HISTORY_STEPS, size: 'max'}), steps => {
@@ -159,13 +159,13 @@
 	});
 };
 
-When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways', function (this: QuotaWorld, share: number, batchSize: number, gateways: number) {
+When('a team at {float} of its quota sends batches of {int} requests to {int} gateways', function (this: QuotaWorld, share: number, batchSize: number, gateways: number) {
 	simulateSmallTeam(this, {
 		share, gateways, batchSize, leaderlessMs: 0,
 	});
 });
 
-When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways, {int} ms of the time without a leader', function (
+When('a team at {float} of its quota sends batches of {int} requests to {int} gateways, {int} ms of the time without a leader', function (
 	this: QuotaWorld,
 	share: number,
 	batchSize: number,
@@ -177,14 +177,14 @@
 	});
 });
 
-Then('none is refused that the quota allows', function (this: QuotaWorld) {
+Then('no request is refused that the quota allows', function (this: QuotaWorld) {
 	for (const {sent, refusedAllowed} of this.counts) {
 		assert.ok(sent > 0);
 		assert.equal(refusedAllowed, 0, `of ${sent}`);
 	}
 });
 
-Then('it uses all of its quota, and in no span more than the quota and its tolerance', function (this: QuotaWorld) {
+Then('it uses its full quota, and in no window more than the quota and its tolerance', function (this: QuotaWorld) {
 	for (const model of this.models) {
 		const used = model.uses.reduce((sum, {cost}) => sum + cost, 0);
 		assert.ok(used >= SMALL_QUOTA.perSecond * TRAFFIC_MS / MS_PER_SECOND, `${used}`);
@@ -199,23 +199,23 @@
 	assert.ok(refusedLeaderless <= sentLeaderless / 2, `${refusedLeaderless} of ${sentLeaderless}`);
 });
 
-/** As the leader lends requests to upstreams that limit them. */
+/** Tolerance with which the leader lends requests to an upstream that limits their rate. */
 const LIMIT_TOLERANCE: QuotaTolerance = {windowMs: 4000, overshoot: 0.25, slack: 3};
 
-/** What an upstream that names a limit may get in a span: this many times the limit, and so many requests more. */
+/** An upstream that announces a limit gets, within a window, at most the limit times this factor, and `LIMIT_SLACK` requests more. */
 const LIMIT_OVERSHOOT = 1.5;
 const LIMIT_SLACK = 5;
 
 const getMaxAtLimit = ({perSecond}: Quota): number => (LIMIT_OVERSHOOT * perSecond * LIMIT_TOLERANCE.windowMs / MS_PER_SECOND) + LIMIT_SLACK;
 
-Given('an upstream that takes {float} requests a second, lent out as limits are', function (this: QuotaWorld, perSecond: number) {
+Given('an upstream with a limit of {float} requests per second, lent with the tolerance for limits', function (this: QuotaWorld, perSecond: number) {
 	this.quota = {
 		unit: QUOTA_UNIT.Request, perSecond, burst: 0, plainTokens: 0,
 	};
 	this.tolerance = LIMIT_TOLERANCE;
 });
 
-Then('in {int} random histories with {int} gateways it gets no more in any {int} ms than 1.5 times its limit and 5 more', {timeout: 60_000}, function (
+Then('in {int} random histories with {int} gateways it gets no more than 1.5 times its limit and 5 requests in any {int} ms', {timeout: 60_000}, function (
 	this: QuotaWorld,
 	runs: number,
 	gateways: number,
@@ -224,13 +224,13 @@
 	const {quota, tolerance} = this;
 	fc.assert(fc.property(fc.array(MODEL_STEP, {minLength: 10, maxLength: HISTORY_STEPS, size: 'max'}), steps => {
 		const model = new QuotaModel(gateways, quota, tolerance);
-		// A request counts as one, whatever its tokens.
+		// Each request costs one unit, whatever the generated cost is.
 		replayHistory(model, steps.map(step => 'costs' in step ? {...step, costs: step.costs.map(() => 1)} : step));
 		assert.ok(model.getMaxUsed(spanMs) <= getMaxAtLimit(quota));
 	}), {numRuns: runs, seed: SEED});
 });
 
-When('requests for {int} times of that come to {int} gateways, one by one', function (this: QuotaWorld, share: number, gateways: number) {
+When('requests at {int} times the limit arrive one by one at {int} gateways', function (this: QuotaWorld, share: number, gateways: number) {
 	this.models = Array.from({length: TRAFFIC_RUNS}, () => new QuotaModel(gateways, this.quota, this.tolerance));
 	this.counts = this.models.map((model, run) => simulateTraffic(model, {
 		random: xoroshiro128plus(SEED + run),
@@ -242,10 +242,10 @@
 	}));
 });
 
-Then('it gets at least {float} of what it takes, and no more in any {int} ms than 1.5 times its limit and 5 more', function (this: QuotaWorld, least: number, spanMs: number) {
+Then('it gets at least {float} of its limit, and no more than 1.5 times its limit and 5 requests in any {int} ms', function (this: QuotaWorld, least: number, spanMs: number) {
 	const taken = this.quota.perSecond * (TRAFFIC_MS - LOAN_MS) / MS_PER_SECOND;
 	for (const model of this.models) {
-		// A leader begins with empty accounts, of which it lends a part until loans of the one before it have ended.
+		// A new leader starts with empty buckets and lends only a part of their capacity until the loans of the previous leader have expired.
 		const used = model.uses.filter(({at}) => at >= LOAN_MS).length;
 		assert.ok(used >= least * taken, `${used} of ${taken}`);
 		assert.ok(model.getMaxUsed(spanMs) <= getMaxAtLimit(this.quota));
--- a/packages/quota/tests/replay-history.ts
+++ b/packages/quota/tests/replay-history.ts
@@ -63,7 +63,7 @@
 	}
 };
 
-/** Plays a history of requests and of what is lost between gateways and leaders. */
+/** Applies a history of requests, lost messages, restarts and new leaders to a model. */
 export const replayHistory = (model: QuotaModel, steps: readonly Step[]): void => {
 	for (const step of steps) {
 		applyStep(model, step);
--- a/packages/quota/tests/simulate-traffic.ts
+++ b/packages/quota/tests/simulate-traffic.ts
@@ -5,19 +5,22 @@
 
 type TrafficOptions = {
 	readonly random: RandomGenerator;
-	/** Requests a second, and what each counts. */
+	/** Requests per second. */
 	readonly perSecond: number;
+	/** Units per request. */
 	readonly cost: number;
-	/** Requests that come at the same moment, each to any gateway. */
+	/** Number of requests that arrive at the same time, each at a random gateway. */
 	readonly batchSize: number;
 	readonly durationMs: number;
-	/** Without a leader from this time on, and for how long; the next one knows nothing. */
+	/** Start and duration of the time without a leader; the next leader knows no loans. */
 	readonly leaderless: {readonly from: number; readonly durationMs: number};
 };
 
 type TrafficCounts = {
 	sent: number;
-	/** Refused although one bucket for all gateways, filled as the quota says, would have let them through. */
+	/**
+	 * Requests that were refused although a single token bucket for all gateways, which fills at the rate of the quota, would have admitted them.
+	 */
 	refusedAllowed: number;
 	sentLeaderless: number;
 	refusedLeaderless: number;
@@ -27,7 +30,7 @@
 const STEP_MS = 10;
 const MS_PER_SECOND = 1000;
 
-/** One bucket for all gateways, which holds the burst and fills at the rate. */
+/** A single token bucket for all gateways, with the burst as its capacity, that fills at the rate of the quota. */
 class ReferenceBucket {
 	readonly #perMs: number;
 	readonly #capacity: number;
@@ -41,7 +44,7 @@
 		this.#at = now;
 	}
 
-	/** Whether a request would be let through; it is counted if so. */
+	/** Returns true if the bucket admits a request, and takes the units of the request in this case. */
 	take(now: number, cost: number): boolean {
 		this.#level = Math.min(this.#capacity, this.#level + ((now - this.#at) * this.#perMs));
 		this.#at = now;
@@ -73,7 +76,10 @@
 	}
 };
 
-/** Requests of one team at random gateways, with the gateways' reports between them; each one runs as soon as it may. */
+/**
+ * Simulates requests of one team at random gateways, and the reports of the gateways; each request runs as soon as its gateway has the units for
+ * it.
+ */
 export const simulateTraffic = (model: QuotaModel, options: TrafficOptions): TrafficCounts => {
 	const counts: TrafficCounts = {
 		sent: 0, refusedAllowed: 0, sentLeaderless: 0, refusedLeaderless: 0,
