--- a/packages/quota/src/get-target-stock.ts
+++ b/packages/quota/src/get-target-stock.ts
@@ -1,7 +1,7 @@
 import {DEMAND_DECAY_MS} from './demand-decay-ms.js';
 import type {QuotaStock} from './quota-stock.js';
 
-/** Time whose expected demand a process keeps in stock, in milliseconds: several reports to the leader, and most of the time of an election. */
+/** Time whose expected demand a process keeps in stock, in milliseconds: several report intervals, and most of the time without a leader after one is lost. */
 const STOCK_HORIZON_MS = 1500;
 
 /**
