--- a/packages/quota/tests/quota.steps.ts
+++ b/packages/quota/tests/quota.steps.ts
@@ -2,10 +2,10 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
-import {ModelQuotas} from './model-quotas.js';
+import {QuotaModel} from './quota-model.js';
 import {MODEL_STEP} from './model-step.js';
-import {playHistory} from './play-history.js';
-import {playTraffic} from './play-traffic.js';
+import {replayHistory} from './replay-history.js';
+import {simulateTraffic} from './simulate-traffic.js';
 import {
 	type Loan, type Quota, type QuotaTolerance, LOAN_MS, QUOTA_UNIT,
 } from '@valelead/quota';
@@ -13,10 +13,10 @@
 type QuotaWorld = {
 	quota: Quota;
 	tolerance: QuotaTolerance;
-	model: ModelQuotas;
+	model: QuotaModel;
 	loan: Loan | undefined;
-	models: ModelQuotas[];
-	counts: Array<ReturnType<typeof playTraffic>>;
+	models: QuotaModel[];
+	counts: Array<ReturnType<typeof simulateTraffic>>;
 };
 
 const TEAM = 'team';
@@ -25,7 +25,7 @@
 const TRAFFIC_RUNS = 30;
 const HISTORY_STEPS = 80;
 
-/** A small team: four of its requests make up what it may ask in a second. */
+/** Quota of a small team, which allows four of its requests per second. */
 const SMALL_QUOTA: Quota = {
 	unit: QUOTA_UNIT.Token, perSecond: 4000, burst: 4000, plainTokens: 1,
 };
@@ -34,14 +34,14 @@
 const TRAFFIC_MS = 30_000;
 const LEADERLESS_FROM_MS = 15_000;
 
-/** Loans at a time while borrowing all that there is. */
-const GRAB_MS = 100;
+/** Interval at which a gateway borrows all available units. */
+const BORROW_INTERVAL_MS = 100;
 
-/** Units of the most urgent kind are whole; sums of fractions are not. */
+/** Tolerance in units for rounding errors: requests take whole units, but sums of fractional units are inexact. */
 const ROUNDING = 0.5;
 
-/** What a quota allows in a span, and beyond it. */
-const getMostInSpan = ({perSecond, burst}: Quota, {windowMs, overshoot, slack}: QuotaTolerance): number =>
+/** Returns the maximum number of units that may be used within a window of the tolerance: what the quota allows, and the tolerance. */
+const getMaxInWindow = ({perSecond, burst}: Quota, {windowMs, overshoot, slack}: QuotaTolerance): number =>
 	((burst + (perSecond * windowMs / MS_PER_SECOND)) * (1 + overshoot)) + slack;
 
 const newQuota = (perSecond: number, burst: number): Quota => ({
@@ -61,15 +61,15 @@
 });
 
 Given('{int} gateways and a leader that has led for {int} ms', function (this: QuotaWorld, count: number, ms: number) {
-	this.model = new ModelQuotas(count, this.quota, this.tolerance);
-	this.model.pass(ms);
+	this.model = new QuotaModel(count, this.quota, this.tolerance);
+	this.model.advance(ms);
 });
 
 When('gateway {int} expects requests of {int} units', function (this: QuotaWorld, gateway: number, cost: number) {
-	this.model.noteDemand(gateway - 1, cost);
+	this.model.recordDemand(gateway - 1, cost);
 });
 
-When('gateway {int} asks for {string} units', function (this: QuotaWorld, gateway: number, text: string) {
+When('gateway {int} requests {string} units', function (this: QuotaWorld, gateway: number, text: string) {
 	const costs = text.split(', ').map(Number);
 	this.loan = this.model.exchange(gateway - 1, costs);
 	for (const cost of costs) {
@@ -89,23 +89,23 @@
 	this.model.exchange(gateway - 1);
 });
 
-When('another leader begins', function (this: QuotaWorld) {
-	this.model.lead();
+When('another leader takes over the quotas', function (this: QuotaWorld) {
+	this.model.changeLeader();
 });
 
 When('{int} ms go by', function (this: QuotaWorld, ms: number) {
-	this.model.pass(ms);
+	this.model.advance(ms);
 });
 
 When('the quota is lowered to {int} units a second with a burst of {int}', function (this: QuotaWorld, perSecond: number, burst: number) {
 	this.model.setQuota(newQuota(perSecond, burst));
 });
 
-Then('it is lent {int} units and told to wait for {int} ms', function (this: QuotaWorld, amount: number, waitMs: number) {
+Then('it is lent {int} units and has to wait for {int} ms', function (this: QuotaWorld, amount: number, waitMs: number) {
 	assert.deepEqual({amount: this.loan?.amount, waitMs: this.loan?.waitMs}, {amount, waitMs});
 });
 
-Then('the team may use {int} units, of which {int} are lent', function (this: QuotaWorld, level: number, lent: number) {
+Then('the bucket of the team holds {int} units, {int} of which are lent', function (this: QuotaWorld, level: number, lent: number) {
 	const account = this.model.ledger.accounts.get(TEAM)!;
 	assert.deepEqual({level: Math.round(account.level), lent: Math.round(account.lent)}, {level, lent});
 });
@@ -118,77 +118,77 @@
 	assert.ok(!this.model.serve(gateway - 1, cost));
 });
 
-Then('no more than the lower quota and its tolerance can be borrowed in a span', function (this: QuotaWorld) {
+Then('no more than the lower quota and its tolerance can be borrowed in a window', function (this: QuotaWorld) {
 	const {model, tolerance} = this;
 	let borrowed = 0;
-	for (let at = 0; at < tolerance.windowMs; at += GRAB_MS) {
+	for (let at = 0; at < tolerance.windowMs; at += BORROW_INTERVAL_MS) {
 		const amount = model.exchange(0, Array.from({length: 200}, () => 1))?.amount ?? 0;
 		assert.ok(amount === 0 || model.serve(0, amount));
 		model.settle(0, true);
 		borrowed += amount;
-		model.pass(GRAB_MS);
+		model.advance(BORROW_INTERVAL_MS);
 	}
 
-	const most = getMostInSpan(model.quota, tolerance);
+	const most = getMaxInWindow(model.quota, tolerance);
 	assert.ok(borrowed <= most, `${borrowed} of ${most}`);
 });
 
-Then('in {int} random histories no span holds more than the quota and its tolerance', {timeout: 60_000}, function (this: QuotaWorld, runs: number) {
+Then('in {int} random histories the usage in each window is within the quota and its tolerance', {timeout: 60_000}, function (this: QuotaWorld, runs: number) {
 	const {quota, tolerance} = this;
-	const most = getMostInSpan(quota, tolerance);
+	const most = getMaxInWindow(quota, tolerance);
 	fc.assert(fc.property(fc.array(MODEL_STEP, {minLength: 10, maxLength: HISTORY_STEPS, size: 'max'}), steps => {
-		const model = new ModelQuotas(4, quota, tolerance);
-		playHistory(model, steps);
-		assert.ok(model.getMostUsed(tolerance.windowMs) <= most + ROUNDING);
+		const model = new QuotaModel(4, quota, tolerance);
+		replayHistory(model, steps);
+		assert.ok(model.getMaxUsed(tolerance.windowMs) <= most + ROUNDING);
 	}), {numRuns: runs, seed: SEED});
 });
 
-const playSmallTeam = (world: QuotaWorld, terms: {readonly share: number; readonly gateways: number; readonly clump: number; readonly leaderlessMs: number}): void => {
-	const {share, gateways, clump, leaderlessMs} = terms;
-	world.models = Array.from({length: TRAFFIC_RUNS}, () => new ModelQuotas(gateways, SMALL_QUOTA, SMALL_TOLERANCE));
+const simulateSmallTeam = (world: QuotaWorld, options: {readonly share: number; readonly gateways: number; readonly batchSize: number; readonly leaderlessMs: number}): void => {
+	const {share, gateways, batchSize, leaderlessMs} = options;
+	world.models = Array.from({length: TRAFFIC_RUNS}, () => new QuotaModel(gateways, SMALL_QUOTA, SMALL_TOLERANCE));
 	world.counts = world.models.map((model, run) => {
-		model.pass(TRAFFIC_MS);
-		return playTraffic(model, {
+		model.advance(TRAFFIC_MS);
+		return simulateTraffic(model, {
 			random: xoroshiro128plus(SEED + run),
 			perSecond: share * SMALL_QUOTA.perSecond / COST,
 			cost: COST,
-			clump,
-			lengthMs: TRAFFIC_MS,
-			leaderless: {from: LEADERLESS_FROM_MS, forMs: leaderlessMs},
+			batchSize,
+			durationMs: TRAFFIC_MS,
+			leaderless: {from: LEADERLESS_FROM_MS, durationMs: leaderlessMs},
 		});
 	});
 };
 
-When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways', function (this: QuotaWorld, share: number, clump: number, gateways: number) {
-	playSmallTeam(this, {
-		share, gateways, clump, leaderlessMs: 0,
+When('a team at {float} of its quota sends batches of {int} requests to {int} gateways', function (this: QuotaWorld, share: number, batchSize: number, gateways: number) {
+	simulateSmallTeam(this, {
+		share, gateways, batchSize, leaderlessMs: 0,
 	});
 });
 
-When('a team at {float} of its quota sends clumps of {int} requests to {int} gateways, {int} ms of the time without a leader', function (
+When('a team at {float} of its quota sends batches of {int} requests to {int} gateways, {int} ms of the time without a leader', function (
 	this: QuotaWorld,
 	share: number,
-	clump: number,
+	batchSize: number,
 	gateways: number,
 	leaderlessMs: number,
 ) {
-	playSmallTeam(this, {
-		share, gateways, clump, leaderlessMs,
+	simulateSmallTeam(this, {
+		share, gateways, batchSize, leaderlessMs,
 	});
 });
 
-Then('none is refused that the quota allows', function (this: QuotaWorld) {
+Then('no request is refused that the quota allows', function (this: QuotaWorld) {
 	for (const {sent, refusedAllowed} of this.counts) {
 		assert.ok(sent > 0);
 		assert.equal(refusedAllowed, 0, `of ${sent}`);
 	}
 });
 
-Then('it uses all of its quota, and in no span more than the quota and its tolerance', function (this: QuotaWorld) {
+Then('it uses its full quota, and in no window more than the quota and its tolerance', function (this: QuotaWorld) {
 	for (const model of this.models) {
 		const used = model.uses.reduce((sum, {cost}) => sum + cost, 0);
 		assert.ok(used >= SMALL_QUOTA.perSecond * TRAFFIC_MS / MS_PER_SECOND, `${used}`);
-		assert.ok(model.getMostUsed(SMALL_TOLERANCE.windowMs) <= getMostInSpan(SMALL_QUOTA, SMALL_TOLERANCE));
+		assert.ok(model.getMaxUsed(SMALL_TOLERANCE.windowMs) <= getMaxInWindow(SMALL_QUOTA, SMALL_TOLERANCE));
 	}
 });
 
@@ -199,23 +199,23 @@
 	assert.ok(refusedLeaderless <= sentLeaderless / 2, `${refusedLeaderless} of ${sentLeaderless}`);
 });
 
-/** As the leader lends requests to upstreams that limit them. */
+/** Tolerance with which the leader lends requests to an upstream that limits their rate. */
 const LIMIT_TOLERANCE: QuotaTolerance = {windowMs: 4000, overshoot: 0.25, slack: 3};
 
-/** What an upstream that names a limit may get in a span: this many times the limit, and so many requests more. */
+/** An upstream that announces a limit gets, within a window, at most the limit times this factor, and `LIMIT_SLACK` requests more. */
 const LIMIT_OVERSHOOT = 1.5;
 const LIMIT_SLACK = 5;
 
-const getMostAtLimit = ({perSecond}: Quota): number => (LIMIT_OVERSHOOT * perSecond * LIMIT_TOLERANCE.windowMs / MS_PER_SECOND) + LIMIT_SLACK;
+const getMaxAtLimit = ({perSecond}: Quota): number => (LIMIT_OVERSHOOT * perSecond * LIMIT_TOLERANCE.windowMs / MS_PER_SECOND) + LIMIT_SLACK;
 
-Given('an upstream that takes {float} requests a second, lent out as limits are', function (this: QuotaWorld, perSecond: number) {
+Given('an upstream with a limit of {float} requests per second, lent with the tolerance for limits', function (this: QuotaWorld, perSecond: number) {
 	this.quota = {
 		unit: QUOTA_UNIT.Request, perSecond, burst: 0, plainTokens: 0,
 	};
 	this.tolerance = LIMIT_TOLERANCE;
 });
 
-Then('in {int} random histories with {int} gateways it gets no more in any {int} ms than 1.5 times its limit and 5 more', {timeout: 60_000}, function (
+Then('in {int} random histories with {int} gateways it gets no more than 1.5 times its limit and 5 requests in any {int} ms', {timeout: 60_000}, function (
 	this: QuotaWorld,
 	runs: number,
 	gateways: number,
@@ -223,31 +223,31 @@
 ) {
 	const {quota, tolerance} = this;
 	fc.assert(fc.property(fc.array(MODEL_STEP, {minLength: 10, maxLength: HISTORY_STEPS, size: 'max'}), steps => {
-		const model = new ModelQuotas(gateways, quota, tolerance);
-		// A request counts as one, whatever its tokens.
-		playHistory(model, steps.map(step => 'costs' in step ? {...step, costs: step.costs.map(() => 1)} : step));
-		assert.ok(model.getMostUsed(spanMs) <= getMostAtLimit(quota));
+		const model = new QuotaModel(gateways, quota, tolerance);
+		// Each request costs one unit, whatever the generated cost is.
+		replayHistory(model, steps.map(step => 'costs' in step ? {...step, costs: step.costs.map(() => 1)} : step));
+		assert.ok(model.getMaxUsed(spanMs) <= getMaxAtLimit(quota));
 	}), {numRuns: runs, seed: SEED});
 });
 
-When('requests for {int} times of that come to {int} gateways, one by one', function (this: QuotaWorld, share: number, gateways: number) {
-	this.models = Array.from({length: TRAFFIC_RUNS}, () => new ModelQuotas(gateways, this.quota, this.tolerance));
-	this.counts = this.models.map((model, run) => playTraffic(model, {
+When('requests at {int} times the limit arrive one by one at {int} gateways', function (this: QuotaWorld, share: number, gateways: number) {
+	this.models = Array.from({length: TRAFFIC_RUNS}, () => new QuotaModel(gateways, this.quota, this.tolerance));
+	this.counts = this.models.map((model, run) => simulateTraffic(model, {
 		random: xoroshiro128plus(SEED + run),
 		perSecond: share * this.quota.perSecond,
 		cost: 1,
-		clump: 1,
-		lengthMs: TRAFFIC_MS,
-		leaderless: {from: TRAFFIC_MS, forMs: 0},
+		batchSize: 1,
+		durationMs: TRAFFIC_MS,
+		leaderless: {from: TRAFFIC_MS, durationMs: 0},
 	}));
 });
 
-Then('it gets at least {float} of what it takes, and no more in any {int} ms than 1.5 times its limit and 5 more', function (this: QuotaWorld, least: number, spanMs: number) {
+Then('it gets at least {float} of its limit, and no more than 1.5 times its limit and 5 requests in any {int} ms', function (this: QuotaWorld, least: number, spanMs: number) {
 	const taken = this.quota.perSecond * (TRAFFIC_MS - LOAN_MS) / MS_PER_SECOND;
 	for (const model of this.models) {
-		// A leader begins with empty accounts, of which it lends a part until loans of the one before it have ended.
+		// A new leader starts with empty buckets and lends only a part of their capacity until the loans of the previous leader have expired.
 		const used = model.uses.filter(({at}) => at >= LOAN_MS).length;
 		assert.ok(used >= least * taken, `${used} of ${taken}`);
-		assert.ok(model.getMostUsed(spanMs) <= getMostAtLimit(this.quota));
+		assert.ok(model.getMaxUsed(spanMs) <= getMaxAtLimit(this.quota));
 	}
 });
