--- a/apps/valelead-daemon/src/control/control-sessions.ts
+++ b/apps/valelead-daemon/src/control/control-sessions.ts
@@ -107,7 +107,7 @@
 	#handleReport(session: Session, {report}: SessionReport): void {
 		if (report.case === 'follower' && this.#followers) {
 			this.#sessions.delete(session);
-			this.#followers.take(session.stream, report.value);
+			this.#followers.handleReport(session.stream, report.value);
 			return;
 		}
 
--- a/apps/valelead-daemon/src/control/directory-news.ts
+++ b/apps/valelead-daemon/src/control/directory-updates.ts
@@ -27,7 +27,7 @@
  * Publishes versions of the upstream directory and encodes the deltas between them. All followers receive deltas between the same published
  * versions, so each delta is encoded once instead of once for each follower.
  */
-export class DirectoryNews {
+export class DirectoryUpdates {
 	readonly #parts: UpdatesParts;
 	readonly #encoded = new Map<string, Uint8Array>();
 	#published: DirectoryProgress = {epoch: '', directoryVersion: 0};
@@ -65,7 +65,7 @@
 	}
 
 	/** Returns an encoded delta with a single upstream. It leaves the follower's directory version unchanged. */
-	getSingleDelta(known: DirectoryProgress, upstream: Upstream): Uint8Array {
+	getUpstreamDelta(known: DirectoryProgress, upstream: Upstream): Uint8Array {
 		return encodeDelta(known, false, [{...upstream, areDiskCopiesUnchanged: false}]);
 	}
 
--- a/apps/valelead-daemon/src/control/follower-sessions.ts
+++ b/apps/valelead-daemon/src/control/follower-sessions.ts
@@ -7,9 +7,9 @@
 import {
 	type FollowerReport, type HeldLease, type QuarantineList, type UpstreamLimits, HeldLeaseSchema, SessionUpdateSchema,
 } from '@valelead/protocol';
-import {DirectoryNews} from './directory-news.js';
-import {FirstShares} from './first-shares.js';
-import {GatewayCensus} from './gateway-census.js';
+import {DirectoryUpdates} from './directory-updates.js';
+import {InitialRetryShares} from './initial-retry-shares.js';
+import {GatewayRegistry} from './gateway-registry.js';
 import type {GatewayLeases} from './gateway-leases.js';
 import {QuarantineRollout} from './quarantine-rollout.js';
 import {ConfirmationQueue} from './confirmation-queue.js';
@@ -81,7 +81,7 @@
 /** Sends the routing configuration and the upstream directory to the connected gateways and sidecars while this voter is the leader. */
 export class FollowerSessions {
 	readonly #voter: Voter;
-	readonly #directoryUpdates: DirectoryNews;
+	readonly #directoryUpdates: DirectoryUpdates;
 	readonly #leases: OrderLeases;
 	readonly #quarantine: QuarantineRegistry;
 	readonly #gatewayLeases: GatewayLeases;
@@ -92,8 +92,8 @@
 	readonly #rollout: SessionsParts['rollout'];
 	readonly #timers: TimerService;
 	readonly #clock: Clock;
-	readonly #gatewayRegistry: GatewayCensus;
-	readonly #initialRetryShares: FirstShares;
+	readonly #gatewayRegistry: GatewayRegistry;
+	readonly #initialRetryShares: InitialRetryShares;
 	readonly #sessions = new Map<FollowerSession['stream'], FollowerSession>();
 	readonly #confirmations: ConfirmationQueue;
 	readonly #pushes: Coalescer;
@@ -110,8 +110,8 @@
 		this.#rollout = rollout;
 		this.#timers = timers;
 		this.#clock = clock;
-		this.#gatewayRegistry = new GatewayCensus(clock);
-		this.#initialRetryShares = new FirstShares({
+		this.#gatewayRegistry = new GatewayRegistry(clock);
+		this.#initialRetryShares = new InitialRetryShares({
 			clock,
 			getTerm: () => voter.node?.term ?? 0,
 			getFirstRoutingTerm() {
@@ -120,15 +120,15 @@
 			},
 			getGatewayCount: () => this.#gatewayRegistry.count,
 		});
-		this.#directoryUpdates = new DirectoryNews({registry, timers});
+		this.#directoryUpdates = new DirectoryUpdates({registry, timers});
 		this.#quarantineRollout = new QuarantineRollout({
 			clock,
 			timers,
 			isLeading: () => this.#voter.node?.isCurrentLeader === true,
 			getVersion: () => quarantine.version,
 			getGateways: () => this.#gateways,
-			isUnaware: version => gatewayLeases.isUnaware(version),
-			onKnown: session => {
+			hasStaleGateway: version => gatewayLeases.hasStaleGateway(version),
+			onProgress: session => {
 				this.#send(session);
 			},
 		});
@@ -141,19 +141,19 @@
 	start(): void {
 		this.#directoryUpdates.start();
 		this.#timers.repeat(CHECK_MS, () => {
-			this.#gatewayRegistry.forgetSilent();
+			this.#gatewayRegistry.removeSilent();
 			this.#checkLeases();
 		});
 		this.#rollout.start(() => this.#voter.node?.isCurrentLeader ? [...this.#sessions.values()] : []);
 		this.#voter.machine.subscribe(() => {
 			this.#rollout.noteCommitted(this.#progress.routingVersion);
-			this.#initialRetryShares.noteState();
-			this.pushSoon();
+			this.#initialRetryShares.refreshState();
+			this.schedulePush();
 		});
 	}
 
 	/** Processes a report of a follower; the first one on a stream opens a session. */
-	take(stream: FollowerSession['stream'], report: FollowerReport): void {
+	handleReport(stream: FollowerSession['stream'], report: FollowerReport): void {
 		const known = this.#sessions.get(stream);
 		if (known) {
 			this.#handleReport(known, report);
@@ -184,8 +184,8 @@
 		const end = (): void => {
 			this.#sessions.delete(stream);
 			this.#confirmations.resolve();
-			this.#gatewayLeases.forget(session);
-			this.#quarantineRollout.forget(session);
+			this.#gatewayLeases.noteSessionEnd(session);
+			this.#quarantineRollout.noteSessionEnd(session);
 			this.#checkLeases();
 		};
 
@@ -196,7 +196,7 @@
 	}
 
 	/** Schedules an update of all followers; changes within the next few milliseconds are sent together. */
-	pushSoon(): void {
+	schedulePush(): void {
 		this.#pushes.schedule();
 	}
 
@@ -204,12 +204,12 @@
 	 * Sends an engine's announcement at once to the process that holds the order lease of the engine, because this process waits for the end of its last
 	 * order. Other followers receive the announcement with the next update.
 	 */
-	tellHolder(upstream: Upstream): void {
+	sendToLeaseHolder(upstream: Upstream): void {
 		const {epoch} = this.#directoryUpdates.progress;
-		const holder = this.#leases.getHolder(upstream.address);
+		const holder = this.#leases.getLeaseHolder(upstream.address);
 		for (const session of this.#sessions.values()) {
 			if (session.vm === holder && session.sent.epoch === epoch) {
-				const directory = this.#directoryUpdates.getSingleDelta(session.sent, upstream);
+				const directory = this.#directoryUpdates.getUpstreamDelta(session.sent, upstream);
 				session.stream.write(create(SessionUpdateSchema, {
 					sentAt: session.sentAt, isCurrent: true, directory, gatewayCount: this.#gatewayRegistry.count, leases: this.#newLeases(session),
 				}));
@@ -224,7 +224,7 @@
 	async waitForFollowers(): Promise<void> {
 		const settled = this.#confirmations.wait(this.#progress);
 		if (this.#confirmations.isWaiting) {
-			this.pushSoon();
+			this.schedulePush();
 		}
 
 		return settled;
@@ -248,7 +248,7 @@
 		session.heardAt = now;
 		session.sentAt = report.sentAt;
 		if (session.role === GATEWAY_ROLE) {
-			this.#gatewayRegistry.note(session.vm);
+			this.#gatewayRegistry.noteReport(session.vm);
 		}
 
 		this.#rollout.noteConfirmed(session.role, session.confirmed.routingVersion, report.routingVersion);
@@ -266,14 +266,14 @@
 			return;
 		}
 
-		this.#gatewayLeases.noteCount(report);
+		this.#gatewayLeases.noteGatewayCount(report);
 		if (session.role === GATEWAY_ROLE) {
-			this.#gatewayLeases.note(session);
-			this.#initialRetryShares.note(session, report);
+			this.#gatewayLeases.noteReport(session);
+			this.#initialRetryShares.noteReport(session, report);
 		}
 
 		this.#processCrashes(session, report);
-		this.#quarantineRollout.note(session, report);
+		this.#quarantineRollout.noteReport(session, report);
 		const loans = this.#quotas.note(session.id, report.quotaUsages);
 		const sends = this.#limits.note(session.id, report);
 		if (loans !== undefined || sends !== undefined || now - session.repliedAt > MIN_REPLY_INTERVAL_MS || this.#hasUpdates(session)) {
@@ -299,15 +299,15 @@
 	/** Checks for expired leases, as no message announces that a lease has expired. */
 	#checkLeases(): void {
 		if (this.#voter.node?.isCurrentLeader) {
-			this.#quarantine.notePaused();
-			this.#quarantineRollout.settle();
+			this.#quarantine.refreshPaused();
+			this.#quarantineRollout.checkPending();
 		}
 	}
 
 	/** Schedules another update while the state is behind the log. It catches up within the time of a disk write, but no event announces this. */
 	#pushOnceReadable(): void {
 		if (!this.#voter.node?.canRead) {
-			this.pushSoon();
+			this.schedulePush();
 		}
 	}
 
@@ -377,7 +377,7 @@
 		session.stream.write(create(SessionUpdateSchema, {
 			sentAt: session.sentAt,
 			isCurrent: true,
-			...(hasNewRouting && {routing, unspentShares: session.role === GATEWAY_ROLE ? this.#initialRetryShares.take(session) : 0}),
+			...(hasNewRouting && {routing, unspentShares: session.role === GATEWAY_ROLE ? this.#initialRetryShares.claimShare(session) : 0}),
 			directory: this.#directoryUpdates.getDelta(session.sent),
 			gatewayCount: this.#gatewayRegistry.count,
 			voterAddresses: this.#voter.node!.voters.map(voter => voter.address),
--- a/apps/valelead-daemon/src/control/gateway-leases.ts
+++ b/apps/valelead-daemon/src/control/gateway-leases.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@valelead/common';
 import type {FollowerReport} from '@valelead/protocol';
-import {BEGUN_CRASHES, CRASH_LEASE_MS} from '@valelead/quarantine';
+import {BEGUN_CRASH_THRESHOLD, CRASH_LEASE_MS} from '@valelead/quarantine';
 import type {FollowerSession} from './follower-session.js';
 
 type LeasesParts = {
@@ -38,19 +38,19 @@
 	}
 
 	/** Records the number of gateways that a follower reports. */
-	noteCount({gatewayCount}: Pick<FollowerReport, 'gatewayCount'>): void {
+	noteGatewayCount({gatewayCount}: Pick<FollowerReport, 'gatewayCount'>): void {
 		this.#checkTerm();
 		this.#expectedCount = Math.max(this.#expectedCount, gatewayCount);
 	}
 
 	/** Records that a gateway's session has sent a report in the current term. */
-	note(session: FollowerSession): void {
+	noteReport(session: FollowerSession): void {
 		this.#checkTerm();
 		this.#gateways.set(session.vm, {session, isSessionEnded: false});
 	}
 
 	/** Records the end of a session. The gateway may keep sending requests until its lease expires. */
-	forget(session: FollowerSession): void {
+	noteSessionEnd(session: FollowerSession): void {
 		const known = this.#gateways.get(session.vm);
 		if (known?.session === session) {
 			known.isSessionEnded = true;
@@ -68,7 +68,7 @@
 	}
 
 	/** Returns true if some gateway may still send requests according to a quarantine list older than a version. */
-	isUnaware(version: number): boolean {
+	hasStaleGateway(version: number): boolean {
 		this.#checkTerm();
 		const now = this.#parts.clock.now();
 		const hasStaleSession = [...this.#gateways.values()].some(({session}) =>
@@ -80,7 +80,7 @@
 	 * Number of crashes from which a request that had just started at each of them is paused, since each absent gateway may have lost one more
 	 * upstream to the request; undefined if no gateway is absent.
 	 */
-	get pausedCrashes(): number | undefined {
+	get pauseThreshold(): number | undefined {
 		if (!this.#hasAllReports) {
 			// This leader does not know yet which crashes the missing gateways reported to an earlier leader.
 			return 1;
@@ -89,7 +89,7 @@
 		const now = this.#parts.clock.now();
 		const isAbsent = ({session: {heardAt}, isSessionEnded}: KnownGateway): boolean => (isSessionEnded || now - heardAt > CRASH_LEASE_MS) && now - heardAt <= ABSENCE_LIMIT_MS;
 		const absentCount = [...this.#gateways.values()].filter(gateway => isAbsent(gateway)).length;
-		return absentCount > 0 ? Math.max(1, BEGUN_CRASHES - absentCount) : undefined;
+		return absentCount > 0 ? Math.max(1, BEGUN_CRASH_THRESHOLD - absentCount) : undefined;
 	}
 
 	get #hasAllReports(): boolean {
--- a/apps/valelead-daemon/src/control/gateway-census.ts
+++ b/apps/valelead-daemon/src/control/gateway-registry.ts
@@ -4,7 +4,7 @@
 const GATEWAY_SILENCE_MS = 5000;
 
 /** Counts the live gateways, among which the leader divides shared budgets. */
-export class GatewayCensus {
+export class GatewayRegistry {
 	readonly #clock: Clock;
 	/** Time of the last report of each gateway, by VM. */
 	readonly #heardAt = new Map<string, number>();
@@ -14,7 +14,7 @@
 	}
 
 	/** Records a report of the gateway on a VM. */
-	note(vm: string): void {
+	noteReport(vm: string): void {
 		this.#heardAt.set(vm, this.#clock.now());
 	}
 
@@ -24,7 +24,7 @@
 	}
 
 	/** Removes gateways whose last report is too old. Must be called at an interval well below `GATEWAY_SILENCE_MS`. */
-	forgetSilent(): void {
+	removeSilent(): void {
 		const now = this.#clock.now();
 		for (const [vm, heardAt] of this.#heardAt) {
 			if (now - heardAt >= GATEWAY_SILENCE_MS) {
--- a/apps/valelead-daemon/src/control/first-shares.ts
+++ b/apps/valelead-daemon/src/control/initial-retry-shares.ts
@@ -28,7 +28,7 @@
  * the installation's first routing was proposed is the first to send one, so it knows every VM that may have sent requests. The shares never
  * add up to more than the whole budget, however many gateways ask.
  */
-export class FirstShares {
+export class InitialRetryShares {
 	readonly #parts: SharesParts;
 	#term = -1;
 	/** True if a gateway reported a routing that it did not receive in the current term. */
@@ -44,7 +44,7 @@
 	}
 
 	/** Checks the term and the first routing again. Called when the replicated state may have changed. */
-	noteState(): void {
+	refreshState(): void {
 		const {getTerm, getFirstRoutingTerm, getGatewayCount, clock} = this.#parts;
 		const term = getTerm();
 		if (term !== this.#term) {
@@ -61,8 +61,8 @@
 	}
 
 	/** Processes a gateway's report. A routing that the gateway did not receive in this term shows that the replicated log was lost. */
-	note({vm}: Pick<FollowerSession, 'vm'>, {routingVersion}: {readonly routingVersion: number}): void {
-		this.noteState();
+	noteReport({vm}: Pick<FollowerSession, 'vm'>, {routingVersion}: {readonly routingVersion: number}): void {
+		this.refreshState();
 		this.#hasForeignRouting ||= routingVersion > 0 && !this.#vmsWithRouting.has(vm);
 	}
 
@@ -70,8 +70,8 @@
 	 * Claims a share for a gateway that is being sent a routing. Returns the number of shares into which the unspent retries are divided, or 0 if
 	 * the gateway gets no share.
 	 */
-	take({vm}: Pick<FollowerSession, 'vm'>): number {
-		this.noteState();
+	claimShare({vm}: Pick<FollowerSession, 'vm'>): number {
+		this.refreshState();
 		const isFirstRouting = !this.#vmsWithRouting.has(vm);
 		this.#vmsWithRouting.add(vm);
 		const firstRouting = this.#firstRouting;
--- a/apps/valelead-daemon/src/control/limit-registry.ts
+++ b/apps/valelead-daemon/src/control/limit-registry.ts
@@ -4,7 +4,7 @@
 	type FollowerReport, type QuotaGrant, type UpstreamLimits, UpstreamLimitSchema, UpstreamLimitsSchema,
 } from '@valelead/protocol';
 import {
-	type LimitBook, type Loan, type Quota, type QuotaTolerance, QUOTA_UNIT, mutateNamedLimit,
+	type LimitTable, type Loan, type Quota, type QuotaTolerance, QUOTA_UNIT, mutateAnnouncedLimit,
 } from '@valelead/quota';
 import type {Logger} from 'pino';
 import {QuotaRegistry} from './quota-registry.js';
@@ -48,7 +48,7 @@
 export class LimitRegistry {
 	readonly #parts: RegistryParts;
 	readonly #loans: QuotaRegistry;
-	#limits: LimitBook = new Map();
+	#limits: LimitTable = new Map();
 	#quotas: ReadonlyMap<string, Quota> = new Map();
 	#term = -1;
 	#version = 0;
@@ -97,10 +97,10 @@
 		return this.#loans.newGrant(sessionId, loans);
 	}
 
-	#addSighting(vm: string, sighting: Parameters<typeof mutateNamedLimit>[1]): void {
+	#addSighting(vm: string, sighting: Parameters<typeof mutateAnnouncedLimit>[1]): void {
 		const {upstreamId, perSecond} = sighting;
 		const before = this.#limits.get(upstreamId)?.perSecond;
-		if (!mutateNamedLimit(this.#limits, sighting)) {
+		if (!mutateAnnouncedLimit(this.#limits, sighting)) {
 			return;
 		}
 
@@ -128,7 +128,7 @@
 	}
 
 	#removeExpired(now: number): void {
-		const expired = [...this.#limits].filter(([upstreamId, {namedAt}]) => now - namedAt > EXPIRY_MS && !this.#parts.isAnnounced(upstreamId));
+		const expired = [...this.#limits].filter(([upstreamId, {announcedAt: namedAt}]) => now - namedAt > EXPIRY_MS && !this.#parts.isAnnounced(upstreamId));
 		for (const [upstreamId] of expired) {
 			this.#limits.delete(upstreamId);
 		}
--- a/apps/valelead-daemon/src/control/new-placement-view.ts
+++ b/apps/valelead-daemon/src/control/new-placement-view.ts
@@ -51,7 +51,7 @@
 	return {
 		name,
 		memoryBytes: vm.memoryBytes,
-		isOpen: isReporting && !isVmDrained && !report.isLeaving && vm.service === '',
+		isSchedulable: isReporting && !isVmDrained && !report.isLeaving && vm.service === '',
 		isDrained: isVmDrained || (report?.isLeaving ?? false),
 		inProgress: report?.inProgress ?? 0,
 		capacity: report?.capacity ?? 1,
--- a/apps/valelead-daemon/src/control/order-leases.ts
+++ b/apps/valelead-daemon/src/control/order-leases.ts
@@ -92,7 +92,7 @@
 	}
 
 	/** Returns the VM whose process manages an engine in place of a sidecar; undefined if no process holds a lease on the engine. */
-	getHolder(address: string): string | undefined {
+	getLeaseHolder(address: string): string | undefined {
 		return this.#getState()?.leases.get(address)?.vm;
 	}
 
--- a/apps/valelead-daemon/src/control/quarantine-registry.ts
+++ b/apps/valelead-daemon/src/control/quarantine-registry.ts
@@ -4,7 +4,7 @@
 import type {Command} from '@valelead/intent';
 import {type FollowerReport, type QuarantineList, QuarantineListSchema} from '@valelead/protocol';
 import {
-	type CrashLedger, QUARANTINE_MS, getBlame, getEvidence, getPaused, getSuspected, isUnproven, mutateOldCrashes, mutateReleased, mutateServed, mutateQuarantined,
+	type CrashLedger, QUARANTINE_MS, getCrashScore, getCrashEvidence, getPausedRequests, getSuspectedRequests, isQuarantineUnfounded, mutateExpiredCrashes, mutateReleasedRequest, mutateServedRequest, mutateQuarantinedRequests,
 } from '@valelead/quarantine';
 import type {Logger} from 'pino';
 import {decodeCrash} from '../follower/decode-crash.js';
@@ -17,7 +17,7 @@
 	readonly timers: TimerService;
 	readonly logger: Logger;
 	/** Returns the number of crashes from which a request is paused while gateways are absent; undefined if no gateway is absent. */
-	readonly getPausedCrashes: () => number | undefined;
+	readonly getPauseThreshold: () => number | undefined;
 	/** Called when the list changes in a way that must be sent to gateways immediately. */
 	readonly onChange: () => void;
 };
@@ -128,7 +128,7 @@
 	}
 
 	/** Updates the paused requests after gateways have become absent or have returned. */
-	notePaused(): void {
+	refreshPaused(): void {
 		this.#checkTerm();
 		if (this.#updatePaused()) {
 			this.#publishChange();
@@ -166,7 +166,7 @@
 			quarantined: [...fingerprints].map(fingerprint => ({
 				fingerprint: toBytes(fingerprint), remainingMs: Math.max(0, (this.#quarantinedAt.get(fingerprint) ?? now) + QUARANTINE_MS - now),
 			})),
-			suspected: getSuspected(this.#ledger).map(fingerprint => toBytes(fingerprint)),
+			suspected: getSuspectedRequests(this.#ledger).map(fingerprint => toBytes(fingerprint)),
 			released: [...this.#released.keys()].map(fingerprint => toBytes(fingerprint)),
 			paused: this.#paused.map(fingerprint => toBytes(fingerprint)),
 		});
@@ -174,7 +174,7 @@
 
 	/** Clears a request that an upstream has answered completely, as such a request crashes no upstream, and revokes its quarantine. */
 	#clearAnswered(fingerprint: string): void {
-		const wasBlamed = mutateServed(this.#ledger, fingerprint, this.#parts.clock.now());
+		const wasBlamed = mutateServedRequest(this.#ledger, fingerprint, this.#parts.clock.now());
 		if ((this.#committed.has(fingerprint) || this.#decisions.has(fingerprint)) && !this.#expiring.has(fingerprint)) {
 			this.#parts.logger.warn({event: 'quarantine-revised', fingerprint}, 'releasing a quarantined request: an upstream answered it completely');
 			void this.#revoke(fingerprint);
@@ -188,7 +188,7 @@
 
 	#quarantineSuspects(fingerprints: readonly string[]): void {
 		const now = this.#parts.clock.now();
-		const quarantined = mutateQuarantined(this.#ledger, fingerprints);
+		const quarantined = mutateQuarantinedRequests(this.#ledger, fingerprints);
 		for (const fingerprint of quarantined) {
 			const upstreams = [...this.#ledger.runsBySuspect.get(fingerprint) ?? []];
 			this.#quarantinedAt.set(fingerprint, now);
@@ -201,7 +201,7 @@
 		}
 
 		// Gateways must confirm each version of the list, so the version changes only if the content does.
-		const suspected = getSuspected(this.#ledger);
+		const suspected = getSuspectedRequests(this.#ledger);
 		const isPausedChanged = this.#updatePaused();
 		if (quarantined.length > 0 || isPausedChanged || suspected.join(',') !== this.#suspected.join(',')) {
 			this.#suspected = suspected;
@@ -211,8 +211,8 @@
 
 	/** Updates the requests that are held back while gateways are absent. Returns true if they changed. */
 	#updatePaused(): boolean {
-		const leastCrashes = this.#parts.getPausedCrashes();
-		const paused = leastCrashes === undefined ? [] : getPaused(this.#ledger, leastCrashes);
+		const leastCrashes = this.#parts.getPauseThreshold();
+		const paused = leastCrashes === undefined ? [] : getPausedRequests(this.#ledger, leastCrashes);
 		if (paused.join(',') === this.#paused.join(',')) {
 			return false;
 		}
@@ -235,7 +235,7 @@
 		let isAnyRevoked = false;
 		const now = this.#parts.clock.now();
 		for (const [fingerprint, {at}] of this.#decisions) {
-			if (now - at < REVOCATION_WINDOW_MS && isUnproven(this.#ledger, fingerprint)) {
+			if (now - at < REVOCATION_WINDOW_MS && isQuarantineUnfounded(this.#ledger, fingerprint)) {
 				this.#logEvidence('quarantine-revised', fingerprint, 'releasing a quarantined request: later crash reports weakened the evidence');
 				this.#ledger.quarantined.delete(fingerprint);
 				void this.#revoke(fingerprint);
@@ -280,7 +280,7 @@
 		const isExpired = this.#expiring.delete(fingerprint);
 		this.#decisions.delete(fingerprint);
 		this.#quarantinedAt.delete(fingerprint);
-		mutateReleased(this.#ledger, fingerprint, isExpired);
+		mutateReleasedRequest(this.#ledger, fingerprint, isExpired);
 		this.#released.set(fingerprint, now);
 		this.#parts.logger.info({event: 'request-released', fingerprint, isExpired}, 'quarantine of a request ended');
 		this.#publishChange();
@@ -293,7 +293,7 @@
 			}
 		}
 
-		mutateOldCrashes(this.#ledger, now);
+		mutateExpiredCrashes(this.#ledger, now);
 		if (!this.#parts.voter.node?.isCurrentLeader) {
 			return;
 		}
@@ -339,9 +339,9 @@
 
 	#logEvidence(event: string, fingerprint: string, message: string): void {
 		const upstreams = [...this.#ledger.runsBySuspect.get(fingerprint) ?? []];
-		const evidence = getEvidence(this.#ledger, fingerprint, this.#parts.clock.now());
+		const evidence = getCrashEvidence(this.#ledger, fingerprint, this.#parts.clock.now());
 		this.#parts.logger.warn({
-			event, fingerprint, upstreams, blame: getBlame(this.#ledger, fingerprint), evidence,
+			event, fingerprint, upstreams, blame: getCrashScore(this.#ledger, fingerprint), evidence,
 		}, message);
 	}
 
--- a/apps/valelead-daemon/src/control/quarantine-rollout.ts
+++ b/apps/valelead-daemon/src/control/quarantine-rollout.ts
@@ -11,9 +11,9 @@
 	/** Returns the gateway sessions with this voter. */
 	readonly getGateways: () => readonly FollowerSession[];
 	/** Returns true if some gateway, reachable or not, may still send requests according to a list older than a version. */
-	readonly isUnaware: (version: number) => boolean;
+	readonly hasStaleGateway: (version: number) => boolean;
 	/** Called when more gateways have applied the consequences of the crashes that a session reported. */
-	readonly onKnown: (session: FollowerSession) => void;
+	readonly onProgress: (session: FollowerSession) => void;
 };
 
 /** A crash report whose resulting quarantine list some gateways may not have applied. */
@@ -47,7 +47,7 @@
 	}
 
 	/** Processes a report. Must be called after the quarantine registry has processed the crashes of the report. */
-	note(session: FollowerSession, {sentAt, crashes}: FollowerReport): void {
+	noteReport(session: FollowerSession, {sentAt, crashes}: FollowerReport): void {
 		if (crashes.length > 0) {
 			const now = this.#parts.clock.now();
 			const since = this.#pending.get(session)?.since ?? now;
@@ -55,15 +55,15 @@
 				sentAt, version: this.#parts.getVersion(), since, isAcknowledged: false,
 			});
 			this.#parts.timers.after(MAX_CONFIRM_MS, () => {
-				this.settle();
+				this.checkPending();
 			});
 		}
 
-		this.settle();
+		this.checkPending();
 	}
 
 	/** Checks the pending reports again after a gateway has sent a confirmation or ended its session. */
-	settle(): void {
+	checkPending(): void {
 		if (!this.#parts.isLeading()) {
 			this.#pending.clear();
 			return;
@@ -74,13 +74,13 @@
 		}
 	}
 
-	forget(session: FollowerSession): void {
+	noteSessionEnd(session: FollowerSession): void {
 		this.#pending.delete(session);
-		this.settle();
+		this.checkPending();
 	}
 
 	#checkReport(session: FollowerSession, report: PendingReport): void {
-		const isApplied = !this.#parts.isUnaware(report.version);
+		const isApplied = !this.#parts.hasStaleGateway(report.version);
 		const isNewlyAcknowledged = !report.isAcknowledged && (isApplied || this.#isAcknowledged(report));
 		if (isNewlyAcknowledged) {
 			report.isAcknowledged = true;
@@ -93,7 +93,7 @@
 		}
 
 		if (isNewlyAcknowledged || isApplied) {
-			this.#parts.onKnown(session);
+			this.#parts.onProgress(session);
 		}
 	}
 
--- a/apps/valelead-daemon/src/control/quota-registry.ts
+++ b/apps/valelead-daemon/src/control/quota-registry.ts
@@ -2,7 +2,7 @@
 import type {Clock, TimerService} from '@valelead/common';
 import {type QuotaGrant, type QuotaUsage, QuotaGrantSchema} from '@valelead/protocol';
 import {
-	type Loan, type Quota, type QuotaLedger, type QuotaTolerance, getScarceSubjects, mutateConfirmedLoans, mutateLoan, mutateLostLoans, mutateQuotas, mutateUsage, newQuotaLedger,
+	type Loan, type Quota, type QuotaLedger, type QuotaTolerance, getScarceSubjects, mutateConfirmedLoans, mutateLoan, mutateExpiredLoans, mutateQuotas, mutateUsage, newQuotaLedger,
 } from '@valelead/quota';
 
 type RegistryParts = {
@@ -37,7 +37,7 @@
 		this.#parts.timers.repeat(LOSS_CHECK_MS, now => {
 			const state = this.#getState();
 			if (state) {
-				mutateLostLoans(state.ledger, now);
+				mutateExpiredLoans(state.ledger, now);
 			}
 		});
 	}
--- a/apps/valelead-daemon/src/control/upstream-registry.ts
+++ b/apps/valelead-daemon/src/control/upstream-registry.ts
@@ -19,7 +19,7 @@
 	/** Called when the directory changes in a way that must be sent to followers immediately. */
 	readonly onChange: () => void;
 	/** Called when an engine that is managed from another machine announces a change of its models or copies. */
-	readonly onHoldings: (upstream: Upstream) => void;
+	readonly onEngineModels: (upstream: Upstream) => void;
 };
 
 /** An upstream is removed as silent after it has missed this many announcements. */
@@ -68,7 +68,7 @@
 			mutateAnnouncement(this.#directory, {...upstream, keeperAddress}, this.#parts.clock.now());
 		});
 		if (keeperAddress !== '' && this.#directory.version !== version) {
-			this.#parts.onHoldings({...upstream, keeperAddress});
+			this.#parts.onEngineModels({...upstream, keeperAddress});
 		}
 
 		if (known?.state !== upstream.state) {
--- a/apps/valelead-daemon/src/controller/start-controller.ts
+++ b/apps/valelead-daemon/src/controller/start-controller.ts
@@ -61,10 +61,10 @@
 		logger,
 		announceMs: settings.announceMs,
 		onChange() {
-			followers.pushSoon();
+			followers.schedulePush();
 		},
-		onHoldings(upstream) {
-			followers.tellHolder(upstream);
+		onEngineModels(upstream) {
+			followers.sendToLeaseHolder(upstream);
 		},
 	});
 	const leases = new OrderLeases({
@@ -73,12 +73,12 @@
 	const gatewayLeases = new GatewayLeases({clock: SYSTEM_CLOCK, getTerm: () => voter.node?.term ?? 0});
 	const quarantine = new QuarantineRegistry({
 		voter,
-		getPausedCrashes: () => gatewayLeases.pausedCrashes,
+		getPauseThreshold: () => gatewayLeases.pauseThreshold,
 		clock: SYSTEM_CLOCK,
 		timers,
 		logger,
 		onChange() {
-			followers.pushSoon();
+			followers.schedulePush();
 		},
 	});
 	const quotas = new QuotaRegistry({
@@ -95,7 +95,7 @@
 		timers,
 		logger,
 		onChange() {
-			followers.pushSoon();
+			followers.schedulePush();
 		},
 	});
 	const watch = new LeaderWatch({
--- a/apps/valelead-daemon/src/entry/admission-defaults.ts
+++ b/apps/valelead-daemon/src/entry/admission-defaults.ts
@@ -3,11 +3,11 @@
 /** Limits and timing of the admission. Times in milliseconds. */
 export const ADMISSION_DEFAULTS: Omit<AdmissionSettings, 'dataCentre'> = {
 	maxAttempts: 6,
-	retryShare: 0.1,
+	retryTokensPerRequest: 0.1,
 	maxRetryTokens: 20,
-	ejectAfter: 3,
-	ejectMs: 1000,
-	maxEjectMs: 30_000,
-	avoidMs: 100,
+	failuresBeforeEjection: 3,
+	baseEjectionMs: 1000,
+	maxEjectionMs: 30_000,
+	refusedTargetAvoidMs: 100,
 	creditMarginMs: 200,
 };
--- a/apps/valelead-daemon/src/entry/dispatcher.ts
+++ b/apps/valelead-daemon/src/entry/dispatcher.ts
@@ -90,7 +90,7 @@
 		this.#exchanges.set(requestId, exchange);
 		this.#take({
 			kind: 'arrive',
-			ticket: {
+			request: {
 				requestId,
 				team: request.team,
 				teamWeight: request.teamWeight,
--- a/apps/valelead-daemon/src/entry/stream-sink.ts
+++ b/apps/valelead-daemon/src/entry/stream-sink.ts
@@ -39,7 +39,7 @@
 
 	/** A caller that takes too little for too long is cut off, so that it cannot hold memory. */
 	data(chunk: Buffer): void {
-		const bytes = this.#splitter ? this.#splitter.take(chunk).bytes : chunk;
+		const bytes = this.#splitter ? this.#splitter.addChunk(chunk).bytes : chunk;
 		if (this.#response.destroyed || bytes.length === 0 || this.#response.write(bytes)) {
 			return;
 		}
--- a/apps/valelead-daemon/src/follower/crash-exchange.ts
+++ b/apps/valelead-daemon/src/follower/crash-exchange.ts
@@ -22,21 +22,21 @@
 	 * Applies a quarantine list.
 	 * @param isFromLeader - True if the leader sent the list; the lists of other voters do not include suspected requests.
 	 */
-	readonly take: (list: QuarantineList, isFromLeader: boolean) => void;
+	readonly applyQuarantine: (list: QuarantineList, isFromLeader: boolean) => void;
 	/**
 	 * Called when the leader has processed this gateway's reports and its quarantine list has been applied.
 	 * @param reportedAt - When the newest report that the leader has processed was made, in monotonic milliseconds.
 	 * @param isLeaseGranted - True if the leader has crash reports from all gateways, so that the gateway may rely on the list for the time of a lease.
 	 */
-	readonly noteHeard: (reportedAt: number, isLeaseGranted: boolean) => void;
+	readonly noteReported: (reportedAt: number, isLeaseGranted: boolean) => void;
 	/**
 	 * Called when all reachable gateways have applied the quarantine decisions that resulted from this gateway's crash reports.
 	 * @param reportedAt - When the newest report of such crashes was made, in monotonic milliseconds.
 	 */
-	readonly noteKnown: (reportedAt: number) => void;
+	readonly noteReachableGatewaysApplied: (reportedAt: number) => void;
 	/**
 	 * Called when no gateway, not even an unreachable one, can still send requests without the quarantine decisions from this gateway's crash reports.
 	 * @param reportedAt - When the newest report of such crashes was made, in monotonic milliseconds.
 	 */
-	readonly noteObeyed: (reportedAt: number) => void;
+	readonly noteAllGatewaysApplied: (reportedAt: number) => void;
 };
--- a/apps/valelead-daemon/src/follower/gateway-count.ts
+++ b/apps/valelead-daemon/src/follower/gateway-count.ts
@@ -74,7 +74,7 @@
 	}
 
 	/** Processes an update of the leader. A new leader may not have reports from all gateways yet, so a lower count is accepted only after 20 s. */
-	take({count, askedAt, isServing, unspentShares}: GatewayCountUpdate): void {
+	handleUpdate({count, askedAt, isServing, unspentShares}: GatewayCountUpdate): void {
 		const now = this.#clock.now();
 		if (count >= this.#value || now - this.#acceptedAt > LOWER_COUNT_DELAY_MS) {
 			this.#value = Math.max(1, count);
--- a/apps/valelead-daemon/src/follower/limit-exchange.ts
+++ b/apps/valelead-daemon/src/follower/limit-exchange.ts
@@ -28,5 +28,5 @@
 	 */
 	readonly getReport: (sentAt: number, isFirst: boolean) => LimitReport;
 	/** Applies an update of the leader. */
-	readonly take: (update: LimitUpdate) => void;
+	readonly handleUpdate: (update: LimitUpdate) => void;
 };
--- a/apps/valelead-daemon/src/follower/duty-report.ts
+++ b/apps/valelead-daemon/src/follower/order-lease-report.ts
@@ -1,7 +1,7 @@
 import type {EndedLease, HeldLease} from '@valelead/protocol';
 
 /** A report to the leader about the order leases of a process and about the engines that have a sidecar. */
-export type DutyReport = {
+export type OrderLeaseReport = {
 	/** Addresses of the engines whose own sidecar the process has reached, or beside which it runs. */
 	readonly attendedEngines: string[];
 	/** Address at which gateways reach the process for the engines that it manages; empty if it takes no order leases. */
--- a/apps/valelead-daemon/src/follower/duty-grant.ts
+++ b/apps/valelead-daemon/src/follower/order-lease-update.ts
@@ -1,7 +1,7 @@
 import type {HeldLease} from '@valelead/protocol';
 
 /** What an update of the leader says about the order leases of the process that receives it. */
-export type DutyGrant = {
+export type OrderLeaseUpdate = {
 	/** All order leases of the process. */
 	readonly leases: readonly HeldLease[];
 	/** Time until a sidecar may send orders to its engine, in milliseconds. */
--- a/apps/valelead-daemon/src/follower/quota-exchange.ts
+++ b/apps/valelead-daemon/src/follower/quota-exchange.ts
@@ -19,5 +19,5 @@
 	 */
 	readonly getReport: (isFirst: boolean) => SubjectUsage[];
 	/** Applies an update of the leader. */
-	readonly take: (update: QuotaUpdate) => void;
+	readonly handleUpdate: (update: QuotaUpdate) => void;
 };
--- a/apps/valelead-daemon/src/follower/routing-confirmation.ts
+++ b/apps/valelead-daemon/src/follower/routing-confirmation.ts
@@ -23,7 +23,7 @@
 	 * Records the leader's confirmation that the routing of this process is the newest.
 	 * @param askedAt - When this process made the report that the leader confirmed, in monotonic milliseconds.
 	 */
-	take(askedAt: number): void {
+	confirm(askedAt: number): void {
 		this.#end.confirm(askedAt);
 	}
 }
--- a/apps/valelead-daemon/src/follower/routing-follower.ts
+++ b/apps/valelead-daemon/src/follower/routing-follower.ts
@@ -43,7 +43,7 @@
 	/** Provides the time of the last suspension of this process and the total time lost in suspensions. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
 	readonly logger: Logger;
-	readonly duties: OrderLeaseExchange;
+	readonly orderLeases: OrderLeaseExchange;
 	/** Undefined in processes that send no requests to upstreams. */
 	readonly crashes?: CrashExchange;
 	readonly quotas?: QuotaExchange;
@@ -116,7 +116,7 @@
 	}
 
 	/** Schedules a report to the leader, after something that is reported has changed. */
-	reportSoon(): void {
+	scheduleReport(): void {
 		this.#session.reportSoon();
 	}
 
@@ -139,7 +139,7 @@
 	}
 
 	#newReport(sentAt: number, isFirst: boolean): SessionReport {
-		const {settings, duties} = this.#parts;
+		const {settings, orderLeases: duties} = this.#parts;
 		const {leases, endedLeases, keeperAddress, isStopping, attendedEngines} = duties.getReport();
 		// Their number only grows, and the leader remembers them for the session.
 		const hasNewEngines = isFirst || attendedEngines.length !== this.#reportedEngineCount;
@@ -176,7 +176,7 @@
 		}
 
 		if (update.quarantine) {
-			this.#parts.crashes?.take(update.quarantine, update.isCurrent);
+			this.#parts.crashes?.applyQuarantine(update.quarantine, update.isCurrent);
 		}
 
 		if (!update.isCurrent) {
@@ -184,15 +184,15 @@
 		}
 
 		this.#updatedAt = this.#parts.clock.now();
-		this.#parts.crashes?.noteHeard(update.sentAt, update.isCrashLeaseGranted);
-		this.#parts.crashes?.noteKnown(update.crashesKnownUntil);
-		this.#parts.crashes?.noteObeyed(update.crashesObeyedUntil);
+		this.#parts.crashes?.noteReported(update.sentAt, update.isCrashLeaseGranted);
+		this.#parts.crashes?.noteReachableGatewaysApplied(update.crashesKnownUntil);
+		this.#parts.crashes?.noteAllGatewaysApplied(update.crashesObeyedUntil);
 		this.#leader.learn(update.voterAddresses);
-		this.#parts.duties.take({
+		this.#parts.orderLeases.handleUpdate({
 			leases: update.leases, ordersFromMs: update.ordersFromMs, holdersKnownInMs: update.holdersKnownInMs, reportedAt: update.sentAt,
 		});
 		this.#handleGrants(update);
-		this.#gateways.take({
+		this.#gateways.handleUpdate({
 			count: update.gatewayCount, askedAt: update.sentAt, isServing: this.#table !== undefined, unspentShares: hadTable ? 0 : update.unspentShares,
 		});
 		if (update.directory.length > 0) {
@@ -210,11 +210,11 @@
 		}
 
 		if (quotaGrant) {
-			this.#parts.quotas?.take({...quotaGrant, reportedAt: sentAt});
+			this.#parts.quotas?.handleUpdate({...quotaGrant, reportedAt: sentAt});
 		}
 
 		if (upstreamLimits ?? limitGrant) {
-			this.#parts.limits?.take({limits: upstreamLimits, grant: limitGrant, reportedAt: sentAt});
+			this.#parts.limits?.handleUpdate({limits: upstreamLimits, grant: limitGrant, reportedAt: sentAt});
 		}
 	}
 
--- a/apps/valelead-daemon/src/gateway/active-attempts.ts
+++ b/apps/valelead-daemon/src/gateway/active-attempts.ts
@@ -1,16 +1,16 @@
 import type {Buffer} from 'node:buffer';
-import {getAnswerFraming} from '@valelead/answer';
+import {getResponseFraming} from '@valelead/answer';
 import {type Clock, OUTCOME, RESULT_CODE} from '@valelead/common';
 import type {Upstream} from '@valelead/discovery';
 import {ROUTE_KIND, isRepeatable} from '@valelead/routing';
 import type {CallerCodec} from '../adapter/caller-codec.js';
-import {AnswerPipe} from './answer-pipe.js';
+import {ResponseForwarder} from './response-forwarder.js';
 import {getAttemptTimeout} from './get-attempt-timeout.js';
 import {mutateChunkTimes} from './mutate-chunk-times.js';
-import {newAttemptEnd} from './new-attempt-end.js';
+import {newAttemptFailure} from './new-attempt-failure.js';
 import type {ResponseHead} from './response-head.js';
-import type {AttemptEnd} from './attempt-end.js';
-import type {AttemptTerms} from './attempt-terms.js';
+import type {AttemptFailure} from './attempt-failure.js';
+import type {AttemptOptions} from './attempt-options.js';
 import type {GatewayRequest} from './gateway-request.js';
 import type {SentAttempt} from './sent-attempt.js';
 import type {UpstreamAgent} from './upstream-agent.js';
@@ -19,7 +19,7 @@
 	readonly codec: CallerCodec;
 	readonly clock: Clock;
 	/** Starts an attempt, which sends the request to the upstream. */
-	readonly newAttempt: (terms: AttemptTerms) => SentAttempt;
+	readonly newAttempt: (terms: AttemptOptions) => SentAttempt;
 	/** Returns the connection pool of an upstream. */
 	readonly getAgent: (upstreamId: string, service: string) => UpstreamAgent;
 	/** Called for each response head and each complete response of an upstream, whatever the status. */
@@ -33,7 +33,7 @@
 	readonly onStarted: (request: GatewayRequest, attemptId: string) => void;
 	/** Called when the response is complete; `passOn` forwards its end to the caller. */
 	readonly onEnded: (request: GatewayRequest, attemptId: string, passOn: () => void) => void;
-	readonly onFailed: (request: GatewayRequest, attemptId: string, upstream: Upstream, end: AttemptEnd) => void;
+	readonly onFailed: (request: GatewayRequest, attemptId: string, upstream: Upstream, end: AttemptFailure) => void;
 	/** Called when an attempt is cancelled before its response is complete, because no caller waits for it any more. */
 	readonly onCancelled: (attempt: SentAttempt) => void;
 };
@@ -52,7 +52,7 @@
 export class ActiveAttempts {
 	readonly #parts: AttemptsParts;
 	readonly #sent = new Map<string, SentAttempt>();
-	readonly #pipes = new Map<string, AnswerPipe>();
+	readonly #pipes = new Map<string, ResponseForwarder>();
 
 	constructor(parts: AttemptsParts) {
 		this.#parts = parts;
@@ -110,7 +110,7 @@
 		}
 	}
 
-	#newEvents(request: GatewayRequest, {attemptId, upstream}: AttemptTarget, startedAt: number): AttemptTerms['events'] {
+	#newEvents(request: GatewayRequest, {attemptId, upstream}: AttemptTarget, startedAt: number): AttemptOptions['events'] {
 		return {
 			onLimit: perSecond => {
 				this.#parts.onLimit(upstream.id, perSecond, startedAt);
@@ -139,16 +139,16 @@
 	#start(request: GatewayRequest, sending: Omit<AttemptTarget, 'remainingMs'>, answer: ResponseHead): boolean {
 		const status = answer.statusCode ?? 0;
 		this.#parts.onAnswer(sending.upstream.id);
-		request.answerFraming = getAnswerFraming({method: request.method, status, headers: answer.headers});
+		request.answerFraming = getResponseFraming({method: request.method, status, headers: answer.headers});
 		request.answerBytes = 0;
 		const isRetried = status >= HTTP_SERVER_ERROR && isRepeatable(request.route) && request.attempts < request.route.maxAttempts;
 		const isBroken = request.answer.isStarted && status !== HTTP_OK;
 		if (isRetried || isBroken) {
-			this.#fail(request, sending, newAttemptEnd(RESULT_CODE.UpstreamFailed, OUTCOME.Unknown, `status ${status}`));
+			this.#fail(request, sending, newAttemptFailure(RESULT_CODE.UpstreamFailed, OUTCOME.Unknown, `status ${status}`));
 			return false;
 		}
 
-		this.#pipes.set(sending.attemptId, new AnswerPipe(request, answer));
+		this.#pipes.set(sending.attemptId, new ResponseForwarder(request, answer));
 		if (request.route.kind === ROUTE_KIND.Stream && status === HTTP_OK) {
 			this.#parts.onStarted(request, sending.attemptId);
 		}
@@ -156,7 +156,7 @@
 		return true;
 	}
 
-	#fail(request: GatewayRequest, {attemptId, upstream}: Omit<AttemptTarget, 'remainingMs'>, end: AttemptEnd): void {
+	#fail(request: GatewayRequest, {attemptId, upstream}: Omit<AttemptTarget, 'remainingMs'>, end: AttemptFailure): void {
 		this.#forget(attemptId);
 		this.#parts.onFailed(request, attemptId, upstream, end);
 	}
--- a/apps/valelead-daemon/src/gateway/after-turns.ts
+++ b/apps/valelead-daemon/src/gateway/after-event-loop-iterations.ts
@@ -1,8 +1,8 @@
 /** Calls back after a number of event-loop iterations. Each iteration reads the data that has arrived on all connections. */
-export const afterTurns = (iterations: number, onDone: () => void): void => {
+export const afterEventLoopIterations = (iterations: number, onDone: () => void): void => {
 	setImmediate(() => {
 		if (iterations > 1) {
-			afterTurns(iterations - 1, onDone);
+			afterEventLoopIterations(iterations - 1, onDone);
 		} else {
 			onDone();
 		}
--- a/apps/valelead-daemon/src/gateway/attempt-terms.ts
+++ b/apps/valelead-daemon/src/gateway/attempt-options.ts
@@ -1,7 +1,7 @@
 import type {Buffer} from 'node:buffer';
 import type {CallerCodec} from '../adapter/caller-codec.js';
 import type {ResponseHead} from './response-head.js';
-import type {AttemptEnd} from './attempt-end.js';
+import type {AttemptFailure} from './attempt-failure.js';
 import type {UpstreamAgent} from './upstream-agent.js';
 
 /** Callbacks of an attempt. After `onEnd` or `onFailure` none is called any more. */
@@ -13,11 +13,11 @@
 	readonly onData: (chunk: Buffer) => void;
 	/** Called once the response is complete. */
 	readonly onEnd: () => void;
-	readonly onFailure: (end: AttemptEnd) => void;
+	readonly onFailure: (end: AttemptFailure) => void;
 };
 
 /** Options of one attempt to send a request to an upstream: the target, the content and the callbacks. */
-export type AttemptTerms = {
+export type AttemptOptions = {
 	readonly requestId: string;
 	readonly upstreamId: string;
 	/** IP address and port of the upstream. */
--- a/apps/valelead-daemon/src/gateway/crash-callbacks.ts
+++ b/apps/valelead-daemon/src/gateway/crash-callbacks.ts
@@ -7,5 +7,5 @@
 	/** Called once for each upstream that crashed while it processed requests of this gateway. */
 	readonly onCrash: () => void;
 	/** Called when news of crashed upstreams must be reported to the leader immediately. */
-	readonly onCrashNews: () => void;
+	readonly onCrashReportDue: () => void;
 };
--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -7,12 +7,12 @@
 import type {CrashExchange} from '../follower/crash-exchange.js';
 import type {StallWatch} from '../stall-watch.js';
 import {PEER_LEASES_EXPIRY_MS} from './peer-leases-expiry-ms.js';
-import {CONNECTION_END} from './connection-end.js';
+import {CONNECTION_STATE} from './connection-state.js';
 import {CrashObserver} from './crash-observer.js';
-import {HeldLosses} from './held-losses.js';
+import {DeferredFailures} from './deferred-failures.js';
 import {getRequestFingerprint} from './get-request-fingerprint.js';
 import {RequestQuarantine} from './request-quarantine.js';
-import type {AttemptEnd} from './attempt-end.js';
+import type {AttemptFailure} from './attempt-failure.js';
 import type {CrashCallbacks} from './crash-callbacks.js';
 import type {GatewayRequest} from './gateway-request.js';
 
@@ -53,32 +53,32 @@
 	readonly #parts: GuardParts;
 	readonly #quarantine: RequestQuarantine;
 	readonly #observer: CrashObserver;
-	readonly #losses: HeldLosses;
+	readonly #losses: DeferredFailures;
 
 	constructor(parts: GuardParts) {
 		this.#parts = parts;
-		this.#losses = new HeldLosses(parts.timers, parts.clock);
+		this.#losses = new DeferredFailures(parts.timers, parts.clock);
 		this.#quarantine = new RequestQuarantine({
 			...parts,
 			onCrashesKnown: until => {
-				this.#losses.noteKnown(until);
+				this.#losses.releaseKnown(until);
 			},
 			onCrashesObeyed: until => {
-				this.#losses.noteObeyed(until);
+				this.#losses.releaseApplied(until);
 			},
 		});
 		this.#observer = new CrashObserver({
 			...parts,
 			onCrash: (run, isFirst) => {
 				this.#quarantine.noteCrash(run);
-				this.#losses.noteCrash(run.runId);
-				parts.onCrashNews();
+				this.#losses.markCrashed(run.runId);
+				parts.onCrashReportDue();
 				if (isFirst) {
 					parts.onCrash();
 				}
 			},
 			onReachable: upstreamId => {
-				this.#losses.noteAlive(upstreamId);
+				this.#losses.releaseAlive(upstreamId);
 			},
 		});
 	}
@@ -112,19 +112,19 @@
 	 * @param passOn - Called with true if the request must not be sent to another upstream. A request that merely waited at its first crash may still be
 	 * sent to a second upstream.
 	 */
-	noteEnd(request: GatewayRequest, upstream: Upstream, end: AttemptEnd, passOn: (isLast: boolean) => void): void {
+	noteEnd(request: GatewayRequest, upstream: Upstream, end: AttemptFailure, passOn: (isLast: boolean) => void): void {
 		switch (end.connection) {
-			case CONNECTION_END.Intact: {
+			case CONNECTION_STATE.Intact: {
 				passOn(false);
 				break;
 			}
 
-			case CONNECTION_END.Broken: {
+			case CONNECTION_STATE.Broken: {
 				this.#handleBrokenConnection(request, upstream, end, passOn);
 				break;
 			}
 
-			case CONNECTION_END.Refused: {
+			case CONNECTION_STATE.Refused: {
 				this.#observer.recordRefusedConnection(upstream.id);
 				passOn(false);
 				break;
@@ -142,11 +142,11 @@
 	 */
 	noteServed(request: GatewayRequest): void {
 		if (this.#quarantine.noteServed(this.#getFingerprint(request))) {
-			this.#parts.onCrashNews();
+			this.#parts.onCrashReportDue();
 		}
 	}
 
-	#handleBrokenConnection(request: GatewayRequest, {id, address}: Upstream, {phase}: AttemptEnd, passOn: (isLast: boolean) => void): void {
+	#handleBrokenConnection(request: GatewayRequest, {id, address}: Upstream, {phase}: AttemptFailure, passOn: (isLast: boolean) => void): void {
 		const fingerprint = this.#getFingerprint(request);
 		const isServedRecently = this.#quarantine.isServedLately(fingerprint);
 		// A request whose response body had begun, or that was answered recently, is unlikely to have crashed its upstream.
@@ -166,8 +166,8 @@
 
 		const heldAt = this.#parts.clock.now();
 		const getMoreMs = () => this.#observer.isCrashed(id) ? this.#quarantine.peerLeasesExpireInMs : 0;
-		this.#losses.hold({
-			runId: id, isCrashed: this.#observer.isCrashed(id), mostMs, ...(hadBegun && {getMoreMs}),
+		this.#losses.defer({
+			runId: id, isCrashed: this.#observer.isCrashed(id), maxDeferMs: mostMs, ...(hadBegun && {getExtensionMs: getMoreMs}),
 		}, isAlive => {
 			this.#parts.logger.info({
 				event: 'loss-held', requestId: request.head.id, upstreamId: id, phase, heldMs: Math.round(this.#parts.clock.now() - heldAt),
--- a/apps/valelead-daemon/src/gateway/crash-lease.ts
+++ b/apps/valelead-daemon/src/gateway/crash-lease.ts
@@ -1,5 +1,5 @@
 import {type Clock, type SuspensionWatch, LeaseEnd} from '@valelead/common';
-import {BEGUN_CRASHES, CRASH_LEASE_MS} from '@valelead/quarantine';
+import {BEGUN_CRASH_THRESHOLD, CRASH_LEASE_MS} from '@valelead/quarantine';
 import {PEER_LEASES_EXPIRY_MS} from './peer-leases-expiry-ms.js';
 
 type LeaseParts = {
@@ -37,7 +37,7 @@
 	 * gateway does not learn of crashes there.
 	 */
 	get maxUnleasedCrashes(): number {
-		return Math.max(1, BEGUN_CRASHES + 1 - this.#parts.getGatewayCount());
+		return Math.max(1, BEGUN_CRASH_THRESHOLD + 1 - this.#parts.getGatewayCount());
 	}
 
 	/**
--- a/apps/valelead-daemon/src/gateway/crash-observer.ts
+++ b/apps/valelead-daemon/src/gateway/crash-observer.ts
@@ -1,7 +1,7 @@
 import type {Clock, TimerService} from '@valelead/common';
 import {type Upstream, UPSTREAM_STATE} from '@valelead/discovery';
 import {
-	type CrashWatch, type Suspect, type WatchedRun, getReplacedRuns, mutateBroken, mutateCrashed, mutateUnwatched, newCrashWatch,
+	type CrashWatch, type Suspect, type WatchedRun, getReplacedRuns, mutateBrokenConnection, mutateEndedRun, mutateExpiredWatches, newCrashWatch,
 } from '@valelead/quarantine';
 import type {Logger} from 'pino';
 import type {StallWatch} from '../stall-watch.js';
@@ -47,7 +47,7 @@
 	constructor(parts: ObserverParts) {
 		this.#parts = parts;
 		parts.timers.repeat(EXPIRY_MS, now => {
-			mutateUnwatched(this.#watch, now);
+			mutateExpiredWatches(this.#watch, now);
 		});
 	}
 
@@ -66,7 +66,7 @@
 			return;
 		}
 
-		const run = mutateBroken(this.#watch, {runId: upstreamId, address, suspect}, this.#parts.clock.now());
+		const run = mutateBrokenConnection(this.#watch, {runId: upstreamId, address, suspect}, this.#parts.clock.now());
 		if (run.isCrashed) {
 			this.#parts.onCrash(run, false);
 		} else if (!this.#probing.has(upstreamId)) {
@@ -108,7 +108,7 @@
 	}
 
 	#end(runId: string, sign: CrashSignValue): void {
-		const run = mutateCrashed(this.#watch, runId);
+		const run = mutateEndedRun(this.#watch, runId);
 		if (!run) {
 			return;
 		}
--- a/apps/valelead-daemon/src/gateway/held-losses.ts
+++ b/apps/valelead-daemon/src/gateway/deferred-failures.ts
@@ -5,12 +5,12 @@
 	/** True if the upstream is already known to have crashed. */
 	readonly isCrashed: boolean;
 	/** Longest time for which the failure is deferred, in milliseconds. */
-	readonly mostMs: number;
+	readonly maxDeferMs: number;
 	/**
 	 * Set if the failure is deferred until every gateway applies the news of the crash. When the longest time has passed, it returns the time by which
 	 * to extend it, in milliseconds; 0 or less for none.
 	 */
-	readonly getMoreMs?: () => number;
+	readonly getExtensionMs?: () => number;
 };
 
 type DeferredFailure = {
@@ -26,7 +26,7 @@
  * Defers the failures of attempts whose upstream was lost until the other gateways know which requests the crash makes suspect. A caller that sees
  * the failure may retry at any gateway, and each retry of a request that crashes upstreams puts another upstream at risk.
  */
-export class HeldLosses {
+export class DeferredFailures {
 	readonly #timers: TimerService;
 	readonly #clock: Clock;
 	readonly #failures = new Set<DeferredFailure>();
@@ -37,7 +37,7 @@
 	}
 
 	/** @param release - Ends the deferral. `isAlive` is true if the upstream turned out to be alive, so that only its connections were lost. */
-	hold({runId, isCrashed, mostMs, getMoreMs}: FailedAttempt, release: (isAlive: boolean) => void): void {
+	defer({runId, isCrashed, maxDeferMs: mostMs, getExtensionMs: getMoreMs}: FailedAttempt, release: (isAlive: boolean) => void): void {
 		const failure: DeferredFailure = {
 			runId, crashedAt: isCrashed ? this.#clock.now() : undefined, isStrict: getMoreMs !== undefined, release,
 		};
@@ -46,7 +46,7 @@
 	}
 
 	/** Marks the deferred failures of an upstream run that has crashed. */
-	noteCrash(runId: string): void {
+	markCrashed(runId: string): void {
 		for (const failure of this.#failures) {
 			if (failure.runId === runId) {
 				failure.crashedAt ??= this.#clock.now();
@@ -55,7 +55,7 @@
 	}
 
 	/** Releases the failures of an upstream run that is alive: only its connections were lost. */
-	noteAlive(runId: string): void {
+	releaseAlive(runId: string): void {
 		for (const failure of this.#failures) {
 			if (failure.runId === runId && failure.crashedAt === undefined) {
 				this.#release(failure, true);
@@ -64,12 +64,12 @@
 	}
 
 	/** Releases failures once all reachable gateways know of the crashes noted until a time, in monotonic milliseconds. */
-	noteKnown(until: number): void {
+	releaseKnown(until: number): void {
 		this.#releaseUntil(until, false);
 	}
 
 	/** Releases failures once no gateway can still dispatch without knowing of the crashes noted until a time, in monotonic milliseconds. */
-	noteObeyed(until: number): void {
+	releaseApplied(until: number): void {
 		this.#releaseUntil(until, true);
 	}
 
--- a/apps/valelead-daemon/src/gateway/demand-reporter.ts
+++ b/apps/valelead-daemon/src/gateway/demand-reporter.ts
@@ -1,6 +1,6 @@
 import {type Clock, type TimerService, Coalescer} from '@valelead/common';
-import {ExpectedReturns} from './expected-returns.js';
-import {isHopeless} from './is-hopeless.js';
+import {ExpectedRetries} from './expected-retries.js';
+import {isLoadTooLate} from './is-load-too-late.js';
 import {newDemand} from './new-demand.js';
 import type {LoadPlanner} from './load-planner.js';
 import type {EngineLinks} from './engine-links.js';
@@ -30,7 +30,7 @@
 export class DemandReporter {
 	readonly #parts: ReporterParts;
 	readonly #reports: Coalescer;
-	readonly #retries = new ExpectedReturns();
+	readonly #retries = new ExpectedRetries();
 	#reportedAt = 0;
 
 	constructor(parts: ReporterParts) {
@@ -40,14 +40,14 @@
 		});
 	}
 
-	tellSoon(): void {
+	scheduleReport(): void {
 		this.#reports.schedule();
 	}
 
 	/** Schedules a report if the last one is older than `REFRESH_MS`; called while requests wait. */
 	refresh(now: number): void {
 		if (now - this.#reportedAt > REFRESH_MS) {
-			this.tellSoon();
+			this.scheduleReport();
 		}
 	}
 
@@ -64,7 +64,7 @@
 		for (const {request, demand} of waiting) {
 			request.awaitedUpstreamId = planner.getChosenUpstreamId(request.target) ?? '';
 			const forecastMs = planner.getForecastMs(demand);
-			if (forecastMs !== undefined && isHopeless(demand, forecastMs, now) && giveUp(request, forecastMs, () => planner.getSourceCount(demand))) {
+			if (forecastMs !== undefined && isLoadTooLate(demand, forecastMs, now) && giveUp(request, forecastMs, () => planner.getSourceCount(demand))) {
 				this.#retries.add(demand, now + forecastMs);
 			}
 		}
--- a/apps/valelead-daemon/src/gateway/dispatch-log.ts
+++ b/apps/valelead-daemon/src/gateway/dispatch-log.ts
@@ -1,8 +1,8 @@
 import type {Logger} from 'pino';
-import type {AttemptEnd} from './attempt-end.js';
+import type {AttemptFailure} from './attempt-failure.js';
 import type {GatewayRequest} from './gateway-request.js';
 import type {SentAttempt} from './sent-attempt.js';
-import type {SiteChange} from './site-change.js';
+import type {PlacementChange} from './placement-change.js';
 import type {StoreLimitChange} from './store-limit-change.js';
 
 type GivenUp = {
@@ -31,7 +31,7 @@
 		this.#logger = logger;
 	}
 
-	noteGivenUp({head, target, awaitedUpstreamId, route}: GatewayRequest, {forecastMs, waitedMs, sourceCount}: GivenUp): void {
+	logGivenUp({head, target, awaitedUpstreamId, route}: GatewayRequest, {forecastMs, waitedMs, sourceCount}: GivenUp): void {
 		this.#logger.info({
 			event: 'request-given-up',
 			requestId: head.id,
@@ -45,21 +45,21 @@
 	}
 
 	/** @param isLast - True if the request is not sent to another upstream. */
-	noteFailed({head, fingerprint, upstreamId, attempts}: GatewayRequest, end: AttemptEnd, isLast: boolean): void {
+	logFailed({head, fingerprint, upstreamId, attempts}: GatewayRequest, end: AttemptFailure, isLast: boolean): void {
 		const {code, outcome, reason, connection, phase} = end;
 		this.#logger.info({
 			event: 'attempt-failed', requestId: head.id, fingerprint, upstreamId, attempt: attempts, code, outcome, reason, connection, phase, isLast,
 		}, 'attempt failed');
 	}
 
-	noteRetry({head, service, attempts}: GatewayRequest, {isAllowed, left, gatewayCount}: RetryCharge): void {
+	logRetry({head, service, attempts}: GatewayRequest, {isAllowed, left, gatewayCount}: RetryCharge): void {
 		this.#logger.info({
 			event: isAllowed ? 'retry-charged' : 'retry-refused', requestId: head.id, service, attempt: attempts, left: Math.round(left * 100) / 100, gatewayCount,
 		}, isAllowed ? 'retry charged to the retry budget of the service' : 'retry refused: the retry budget of the service is exhausted');
 	}
 
 	/** Logs a cancelled attempt. A request that was sent without a response may still reach its upstream. */
-	noteCancelled({
+	logCancelled({
 		requestId, upstreamId, isSent, isAnswered, isConnectionReused, startedAt,
 	}: SentAttempt, now: number): void {
 		this.#logger.info({
@@ -67,17 +67,17 @@
 		}, 'attempt cancelled');
 	}
 
-	noteStall(stalledMs: number): void {
+	logStall(stalledMs: number): void {
 		this.#logger.warn({event: 'process-stalled', stalledMs: Math.round(stalledMs)}, 'this process stood still');
 	}
 
-	noteMoved(change: SiteChange): void {
+	logLoadMoved(change: PlacementChange): void {
 		this.#logger.info({
 			event: 'load-moved', ...change, stoodMs: Math.round(change.stoodMs), expectedMs: Math.round(change.expectedMs),
 		}, 'load moved to another engine');
 	}
 
-	noteStoreLimit(change: StoreLimitChange): void {
+	logStoreLimit(change: StoreLimitChange): void {
 		this.#logger.info({event: 'store-limit', ...change}, 'limit of concurrent fetches from the weight store changed');
 	}
 }
--- a/apps/valelead-daemon/src/gateway/engine-knowledge.ts
+++ b/apps/valelead-daemon/src/gateway/engine-discovery.ts
@@ -29,7 +29,7 @@
  * needless loads from the weight store, which costs 1 in 100 of the score in the simulated pattern `power-loss` and delays the recovery of a whole
  * installation by seconds.
  */
-export class EngineKnowledge {
+export class EngineDiscovery {
 	#engines: ReadonlyMap<string, KnownEngine> = new Map();
 
 	/** Replaces the set of known engines. */
--- a/apps/valelead-daemon/src/gateway/engine-fleet.ts
+++ b/apps/valelead-daemon/src/gateway/engine-fleet.ts
@@ -1,7 +1,7 @@
 import {type AdmissionEndpoint, getServiceTarget} from '@valelead/admission';
 import {type Upstream, UPSTREAM_STATE} from '@valelead/discovery';
 import type {EngineReport} from '@valelead/protocol';
-import {getSpareReplicas} from '@valelead/residency';
+import {getSurplusReplicas} from '@valelead/residency';
 import type {RouteTable} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
 import {getTarget} from './get-target.js';
@@ -85,7 +85,7 @@
 const newSurplusReplicas = (key: string, model: string, replicas: readonly EngineView[]): SurplusReplicas => {
 	const ranked = replicas.map(({upstream, copiesOnDisk}) => ({upstreamId: upstream.id, copies: copiesOnDisk.length}));
 	const inProgress = replicas.reduce((sum, view) => sum + (view.inProgressByModel.get(model) ?? 0), 0);
-	return {replicas, ids: getSpareReplicas(key, ranked, inProgress, replicas[0].upstream.slots)};
+	return {replicas, ids: getSurplusReplicas(key, ranked, inProgress, replicas[0].upstream.slots)};
 };
 
 /** Combines the announcements of upstreams with the reports of their managers into the endpoints of each target. */
@@ -131,7 +131,7 @@
 			const endpoint = this.#newEndpoint(view, gatewayCount, getOwnCount(view.upstream.id));
 			for (const {key, targets} of offers) {
 				const isSurplus = this.#surplus.get(key)?.ids.has(view.upstream.id) === true;
-				const chosen = isSurplus ? {...endpoint, othersInProgress: (endpoint.othersInProgress ?? 0) + SURPLUS_PENALTY} : endpoint;
+				const chosen = isSurplus ? {...endpoint, otherEntriesInProgress: (endpoint.otherEntriesInProgress ?? 0) + SURPLUS_PENALTY} : endpoint;
 				for (const target of targets) {
 					mutateList(endpoints, target, chosen);
 				}
@@ -185,8 +185,8 @@
 		return {
 			vm: upstream.id,
 			dataCentre: upstream.dataCentre,
-			places: Math.min(share, free),
-			othersInProgress: otherRequests,
+			concurrencyLimit: Math.min(share, free),
+			otherEntriesInProgress: otherRequests,
 		};
 	}
 }
--- a/apps/valelead-daemon/src/gateway/expected-returns.ts
+++ b/apps/valelead-daemon/src/gateway/expected-retries.ts
@@ -13,7 +13,7 @@
  * Refused requests whose callers were given a Retry-After time. They keep counting as demand until then, so that their units are loaded:
  * otherwise a model whose requests are all refused would never be loaded.
  */
-export class ExpectedReturns {
+export class ExpectedRetries {
 	#retries: ExpectedRetry[] = [];
 
 	/** @param retriesAt - When the caller was told to retry, in monotonic milliseconds. */
--- a/apps/valelead-daemon/src/gateway/gateway-request.ts
+++ b/apps/valelead-daemon/src/gateway/gateway-request.ts
@@ -1,8 +1,8 @@
 import type {Buffer} from 'node:buffer';
-import type {AnswerFramingValue} from '@valelead/answer';
+import type {ResponseFramingValue} from '@valelead/answer';
 import type {Route} from '@valelead/routing';
 import type {CallerRequest} from '../adapter/caller-request.js';
-import type {Answer} from './answer.js';
+import type {ResponseWriter} from './response-writer.js';
 import type {Caller} from './caller.js';
 
 /** A caller's request at a gateway, with its progress. Times are monotonic milliseconds. */
@@ -21,7 +21,7 @@
 	/** The caller's headers that are forwarded, as name, value, name, value … */
 	readonly rawHeaders: readonly string[];
 	readonly body: Buffer;
-	readonly answer: Answer;
+	readonly answer: ResponseWriter;
 	readonly arrivedAt: number;
 	/** The time by which the complete response is due. */
 	readonly deadlineAt: number;
@@ -40,6 +40,6 @@
 	lastChunkAt: number;
 	longestPauseMs: number;
 	/** How the end of the most recent upstream response is determined (e.g. by its length), and the bytes received of its body. */
-	answerFraming: AnswerFramingValue | undefined;
+	answerFraming: ResponseFramingValue | undefined;
 	answerBytes: number;
 };
--- a/apps/valelead-daemon/src/gateway/gateway.ts
+++ b/apps/valelead-daemon/src/gateway/gateway.ts
@@ -22,7 +22,7 @@
 import {newGatewayAdmission} from './new-gateway-admission.js';
 import {RequestDispatcher} from './request-dispatcher.js';
 import {RequestHandler} from './request-handler.js';
-import {RequestIntake} from './request-intake.js';
+import {RequestReceiver} from './request-receiver.js';
 import {RequestServer} from './request-server.js';
 import {ResidencyClients} from './residency-clients.js';
 import {startReadinessServer} from './start-readiness-server.js';
@@ -67,7 +67,7 @@
 	readonly #engineManagers: EngineKeepers;
 	readonly #residencyServer: GrpcServer;
 	readonly #confirmation: RoutingConfirmation;
-	readonly #intake: RequestIntake;
+	readonly #intake: RequestReceiver;
 	readonly #dispatcher: RequestDispatcher;
 	readonly #server: RequestServer;
 	#admin: Server | undefined;
@@ -90,7 +90,7 @@
 				this.#dispatcher.takeReport(address, report);
 			},
 			onAttended: () => {
-				this.#follower.reportSoon();
+				this.#follower.scheduleReport();
 			},
 		});
 		this.#engineManagers = new EngineKeepers({
@@ -108,7 +108,7 @@
 		}]);
 		this.#follower = this.#newFollower();
 		this.#confirmation = new RoutingConfirmation(SYSTEM_CLOCK, SYSTEM_SUSPENSIONS, settings.revokeMs);
-		this.#intake = new RequestIntake({
+		this.#intake = new RequestReceiver({
 			clock: SYSTEM_CLOCK,
 			suspensions: SYSTEM_SUSPENSIONS,
 			timers,
@@ -119,7 +119,7 @@
 			getRoutingAgeMs: () => this.#follower.ageMs,
 			getGrace: () => this.#grace,
 			onNeed: () => {
-				this.#follower.reportSoon();
+				this.#follower.scheduleReport();
 			},
 		});
 		this.#dispatcher = new RequestDispatcher({
@@ -138,17 +138,17 @@
 			onCrash: () => {
 				this.#metrics.crashedUpstreams.inc();
 			},
-			onCrashNews: () => {
-				this.#follower.reportSoon();
+			onCrashReportDue: () => {
+				this.#follower.scheduleReport();
 			},
-			onLimitNews: () => {
-				this.#follower.reportSoon();
+			onLimitReportDue: () => {
+				this.#follower.scheduleReport();
 			},
 			onRetry: (service, isAllowed) => {
 				this.#metrics.retries.inc({service, result: isAllowed ? 'sent' : 'refused'});
 			},
-			onCut: request => {
-				this.#intake.noteCut(request);
+			onAborted: request => {
+				this.#intake.recordAborted(request);
 			},
 			onCancelled: ({isAnswered}) => {
 				this.#metrics.cancelledAttempts.inc({answered: String(isAnswered)});
@@ -165,7 +165,7 @@
 			onRequest: request => {
 				this.#intake.arrive(request);
 			},
-			onGone: request => {
+			onCallerDisconnected: request => {
 				this.#intake.abandon(request);
 			},
 			getTable: () => this.#follower.table,
@@ -204,7 +204,7 @@
 		const endsAt = startedAt + (settings.graceSeconds * MS_PER_SECOND) - SHUTDOWN_RESERVE_MS;
 		this.#grace = {startedAt, endsAt};
 		this.#dispatcher.stop(endsAt);
-		this.#follower.reportSoon();
+		this.#follower.scheduleReport();
 		await timers.wait(Math.min(BALANCER_DRAIN_MS, settings.graceSeconds * MS_PER_SECOND / 2));
 		this.#server.close();
 		this.#server.closeIdle();
@@ -235,7 +235,7 @@
 		const now = SYSTEM_CLOCK.now();
 		this.#grace ??= {startedAt: now, endsAt: now};
 		this.#intake.refuseAll(RESULT_CODE.Draining);
-		this.#dispatcher.cutAll(RESULT_CODE.Draining);
+		this.#dispatcher.abortAll(RESULT_CODE.Draining);
 	}
 
 	#newFollower(): RoutingFollower {
@@ -250,41 +250,41 @@
 			clock: SYSTEM_CLOCK,
 			suspensions: SYSTEM_SUSPENSIONS,
 			logger,
-			duties: {
+			orderLeases: {
 				getReport: () => ({...this.#engineManagers.getReport(), isStopping: this.#grace !== undefined, attendedEngines: this.#residency.attendedEngines}),
-				take: grant => {
+				handleUpdate: grant => {
 					this.#engineManagers.take(grant);
 				},
 			},
 			crashes: {
 				getReport: isFirst => this.#dispatcher.crashExchange.getReport(isFirst),
-				take: (list, isLeaders) => {
-					this.#dispatcher.crashExchange.take(list, isLeaders);
+				applyQuarantine: (list, isLeaders) => {
+					this.#dispatcher.crashExchange.applyQuarantine(list, isLeaders);
 				},
-				noteHeard: (reportedAt, isLeaseGranted) => {
-					this.#dispatcher.crashExchange.noteHeard(reportedAt, isLeaseGranted);
+				noteReported: (reportedAt, isLeaseGranted) => {
+					this.#dispatcher.crashExchange.noteReported(reportedAt, isLeaseGranted);
 				},
-				noteKnown: reportedAt => {
-					this.#dispatcher.crashExchange.noteKnown(reportedAt);
+				noteReachableGatewaysApplied: reportedAt => {
+					this.#dispatcher.crashExchange.noteReachableGatewaysApplied(reportedAt);
 				},
-				noteObeyed: reportedAt => {
-					this.#dispatcher.crashExchange.noteObeyed(reportedAt);
+				noteAllGatewaysApplied: reportedAt => {
+					this.#dispatcher.crashExchange.noteAllGatewaysApplied(reportedAt);
 				},
 			},
 			quotas: {
 				getReport: isFirst => this.#intake.quotas.getReport(isFirst),
-				take: news => {
-					this.#intake.quotas.take(news);
+				handleUpdate: news => {
+					this.#intake.quotas.handleUpdate(news);
 				},
 			},
 			limits: {
 				getReport: (sentAt, isFirst) => this.#dispatcher.limitExchange.getReport(sentAt, isFirst),
-				take: news => {
-					this.#dispatcher.limitExchange.take(news);
+				handleUpdate: news => {
+					this.#dispatcher.limitExchange.handleUpdate(news);
 				},
 			},
 			onConfirmed: askedAt => {
-				this.#confirmation.take(askedAt);
+				this.#confirmation.confirm(askedAt);
 			},
 			onRouting: table => {
 				this.#takeRouting(table);
--- a/apps/valelead-daemon/src/gateway/get-attempt-timeout.ts
+++ b/apps/valelead-daemon/src/gateway/get-attempt-timeout.ts
@@ -1,6 +1,6 @@
 import {RESULT_CODE, type ResultCodeValue} from '@valelead/common';
 import {isRepeatable} from '@valelead/routing';
-import {getPatienceMs} from './get-patience-ms.js';
+import {getFirstByteTimeoutMs} from './get-first-byte-timeout-ms.js';
 import type {GatewayRequest} from './gateway-request.js';
 import type {SentAttempt} from './sent-attempt.js';
 
@@ -23,6 +23,6 @@
 	}
 
 	const canGoElsewhere = request !== undefined && isRepeatable(request.route) && request.attempts < request.route.maxAttempts;
-	const isOverdue = canGoElsewhere && !attempt.isAnswered && waitedMs > getPatienceMs(request.route);
+	const isOverdue = canGoElsewhere && !attempt.isAnswered && waitedMs > getFirstByteTimeoutMs(request.route);
 	return isOverdue ? {code: RESULT_CODE.UpstreamSilent, reason: `no answer for ${Math.round(waitedMs)} ms`} : undefined;
 };
--- a/apps/valelead-daemon/src/gateway/get-caller-check.ts
+++ b/apps/valelead-daemon/src/gateway/get-caller-check.ts
@@ -2,7 +2,7 @@
 import {RESULT_CODE} from '@valelead/common';
 import {type Quota, QUOTA_UNIT, getRequestCost} from '@valelead/quota';
 import {
-	type Route, type RouteTable, type Team, getRank,
+	type Route, type RouteTable, type Team, getPriorityRank,
 } from '@valelead/routing';
 import type {CallerRequest} from '../adapter/caller-request.js';
 import type {CallerCheck} from './caller-check.js';
@@ -24,7 +24,7 @@
 		return {kind: 'refused', code: RESULT_CODE.MalformedRequest};
 	}
 
-	return {kind: 'known', caller: {team, rank: getRank(table, route, team), cost: quota ? getCost(quota, head) : 0}};
+	return {kind: 'known', caller: {team, rank: getPriorityRank(table, route, team), cost: quota ? getCost(quota, head) : 0}};
 };
 
 /** Authenticates a request. Keys are looked up only in a confirmed routing, as an older one may still contain a key that was revoked since. */
--- a/apps/valelead-daemon/src/gateway/get-engine-usage.ts
+++ b/apps/valelead-daemon/src/gateway/get-engine-usage.ts
@@ -1,4 +1,4 @@
-import {type EngineLimits, getModelShapes} from '@valelead/routing';
+import {type EngineLimits, getModelProfiles} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
 import type {EngineUsage} from './engine-usage.js';
 
@@ -15,7 +15,7 @@
 };
 
 const newEngineUsage = (view: EngineView, limits: EngineLimits | undefined): EngineUsage => {
-	const shapes = limits && getModelShapes(limits);
+	const shapes = limits && getModelProfiles(limits);
 	const models = new Set([...view.models.map(loaded => loaded.name), ...view.loads.map(load => load.model)]);
 	const usedMemory = [...models].reduce((sum, name) => sum + (shapes?.get(name)?.weightMemory ?? 0), 0);
 	return {models, usedMemory, isEvictionBlocked: isEvictionBlocked(view)};
--- a/apps/valelead-daemon/src/gateway/get-patience-ms.ts
+++ b/apps/valelead-daemon/src/gateway/get-first-byte-timeout-ms.ts
@@ -10,4 +10,4 @@
  * Returns the first-byte timeout in milliseconds: the time that an upstream has to begin its response before the gateway sends a repeatable request
  * to another upstream.
  */
-export const getPatienceMs = (route: Route): number => Math.max(MIN_TIMEOUT_MS, route.objectiveMs * TIMEOUT_OBJECTIVES);
+export const getFirstByteTimeoutMs = (route: Route): number => Math.max(MIN_TIMEOUT_MS, route.objectiveMs * TIMEOUT_OBJECTIVES);
--- a/apps/valelead-daemon/src/gateway/has-room.ts
+++ b/apps/valelead-daemon/src/gateway/has-room.ts
@@ -1,4 +1,4 @@
-import {type EngineLimits, getModelShapes} from '@valelead/routing';
+import {type EngineLimits, getModelProfiles} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
 import {getEngineUsage} from './get-engine-usage.js';
 
@@ -9,6 +9,6 @@
 	}
 
 	const {models, usedMemory} = getEngineUsage(view, limits);
-	const ownMemory = models.has(model) ? 0 : getModelShapes(limits).get(model)?.weightMemory ?? 0;
+	const ownMemory = models.has(model) ? 0 : getModelProfiles(limits).get(model)?.weightMemory ?? 0;
 	return usedMemory + ownMemory <= limits.weightMemory;
 };
--- a/apps/valelead-daemon/src/gateway/caller-answer.ts
+++ b/apps/valelead-daemon/src/gateway/http-response-writer.ts
@@ -4,7 +4,7 @@
 import {breakOff} from '../break-off.js';
 import type {Refusal} from '../entry/refusal.js';
 import {newRefusalBody} from '../entry/new-refusal-body.js';
-import type {Answer} from './answer.js';
+import type {ResponseWriter} from './response-writer.js';
 
 type AnswerParts = {
 	readonly response: ServerResponse;
@@ -19,7 +19,7 @@
 const MS_PER_SECOND = 1000;
 
 /** Writes the response to one caller over HTTP: either the unchanged response of an upstream or an error response of the gateway. */
-export class CallerAnswer implements Answer {
+export class HttpResponseWriter implements ResponseWriter {
 	readonly #parts: AnswerParts;
 	#isEnded = false;
 
@@ -36,7 +36,7 @@
 		return this.#isEnded;
 	}
 
-	get isCallerGone(): boolean {
+	get isCallerDisconnected(): boolean {
 		const {response} = this.#parts;
 		return response.destroyed || response.socket?.readableEnded === true;
 	}
--- a/apps/valelead-daemon/src/gateway/load-candidates.ts
+++ b/apps/valelead-daemon/src/gateway/load-candidates.ts
@@ -1,9 +1,9 @@
 import {
-	type LoadSite, type StoreFetch, type StoreLimit, getFetchers, isShortOfCopies, mutateStoreLimit, newStoreLimit,
+	type LoadCandidate, type StoreFetch, type StoreConcurrencyLimit, getStoreFetchers, hasFewCopies, mutateStoreConcurrencyLimit, newStoreConcurrencyLimit,
 } from '@valelead/residency';
-import {type EngineLimits, type ModelShape, getModelShapes} from '@valelead/routing';
+import {type EngineLimits, type ModelProfile, getModelProfiles} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
-import {EngineKnowledge} from './engine-knowledge.js';
+import {EngineDiscovery} from './engine-discovery.js';
 import {hasRoom} from './has-room.js';
 import {newLoadCandidate} from './new-load-candidate.js';
 import type {PlannerParts} from './planner-parts.js';
@@ -24,12 +24,12 @@
 /** Provides the engines that are candidates for loading a unit. */
 export class LoadCandidates {
 	readonly #parts: PlannerParts;
-	readonly #knowledge = new EngineKnowledge();
+	readonly #knowledge = new EngineDiscovery();
 	/** Ids of the engines that may fetch from the weight store, by service; computed once for all units of a planning round. */
 	readonly #storeFetchers = new Map<string, ReadonlySet<string>>();
 	/** Usable engines by service, also computed once for each planning round. */
 	readonly #usable = new Map<string, UsableEngines>();
-	readonly #storeLimit: StoreLimit = newStoreLimit();
+	readonly #storeLimit: StoreConcurrencyLimit = newStoreConcurrencyLimit();
 	#refreshedAt = 0;
 
 	constructor(parts: PlannerParts) {
@@ -52,9 +52,9 @@
 	}
 
 	/** Returns the memory sizes and load times of a model; undefined if the model is not configured. */
-	getShape({service, model}: Pick<PlacementRequest, 'service' | 'model'>): ModelShape | undefined {
+	getShape({service, model}: Pick<PlacementRequest, 'service' | 'model'>): ModelProfile | undefined {
 		const limits = this.#getLimits(service);
-		return limits && getModelShapes(limits).get(model);
+		return limits && getModelProfiles(limits).get(model);
 	}
 
 	/**
@@ -62,7 +62,7 @@
 	 * because they do not suffice. An engine without a copy would fetch the model from the weight store: only selected engines may do so, and none
 	 * while not all engines are known, as an engine that is still to be discovered may have a copy.
 	 */
-	getSuitable(request: PlacementRequest): LoadSite[] {
+	getSuitable(request: PlacementRequest): LoadCandidate[] {
 		const {
 			service, model, adapter, requiresRoom, requiresFewCopies, excludedUpstreamIds,
 		} = request;
@@ -71,14 +71,14 @@
 		const limits = this.#getLimits(service);
 		return views
 			.filter(view => !excludedUpstreamIds.has(view.upstream.id))
-			.filter(view => (!requiresRoom || hasRoom(view, model, limits)) && (!requiresFewCopies || isShortOfCopies(view.copiesOnDisk.length, mostCopies)))
+			.filter(view => (!requiresRoom || hasRoom(view, model, limits)) && (!requiresFewCopies || hasFewCopies(view.copiesOnDisk.length, mostCopies)))
 			.map(view => newLoadCandidate(view, model, limits, mostCopies))
-			.filter(candidate => adapter !== '' || !candidate.isHeld)
+			.filter(candidate => adapter !== '' || !candidate.isLoaded)
 			.filter(engine => engine.hasMemoryCopy || engine.hasDiskCopy || engine.remainingMs !== undefined || (!requiresCopy && this.#isFetchAllowed(service, engine)));
 	}
 
 	/** Returns all usable engines of a unit's service, eligible or not. */
-	getAll({service, model}: Pick<PlacementRequest, 'service' | 'model'>): LoadSite[] {
+	getAll({service, model}: Pick<PlacementRequest, 'service' | 'model'>): LoadCandidate[] {
 		const limits = this.#getLimits(service);
 		const {views, mostCopies} = this.#getUsable(service);
 		return views.map(view => newLoadCandidate(view, model, limits, mostCopies));
@@ -86,16 +86,16 @@
 
 	/** Updates the estimate of the weight store's concurrency limit from the fetches of all services, which share one store. */
 	#updateStoreLimit(views: readonly EngineView[]): void {
-		const before = this.#storeLimit.atOnce;
-		mutateStoreLimit(this.#storeLimit, views.flatMap(view => getFetches(view)));
-		const {atOnce, fetches} = this.#storeLimit;
+		const before = this.#storeLimit.maxFetches;
+		mutateStoreConcurrencyLimit(this.#storeLimit, views.flatMap(view => getFetches(view)));
+		const {maxFetches: atOnce, fetches} = this.#storeLimit;
 		if (atOnce !== before) {
-			this.#parts.onStoreLimit({atOnce, before, underWay: fetches.size});
+			this.#parts.onStoreLimitChange({atOnce, before, underWay: fetches.size});
 		}
 	}
 
 	/** True if the engine may fetch the model from the weight store, or has loaded the model and need not fetch it. */
-	#isFetchAllowed(service: string, {upstreamId, isHeld}: LoadSite): boolean {
+	#isFetchAllowed(service: string, {upstreamId, isLoaded: isHeld}: LoadCandidate): boolean {
 		const storeFetchers = this.#storeFetchers.get(service) ?? this.#newStoreFetchers(service);
 		this.#storeFetchers.set(service, storeFetchers);
 		return isHeld || storeFetchers.has(upstreamId);
@@ -103,7 +103,7 @@
 
 	#newStoreFetchers(service: string): ReadonlySet<string> {
 		const engines = this.#getManaged(service).map(({upstream, copiesOnDisk}) => ({upstreamId: upstream.id, copies: copiesOnDisk.length}));
-		return getFetchers(engines, this.#storeLimit.atOnce);
+		return getStoreFetchers(engines, this.#storeLimit.maxFetches);
 	}
 
 	#getLimits(service: string): EngineLimits | undefined {
--- a/apps/valelead-daemon/src/gateway/load-forecast.ts
+++ b/apps/valelead-daemon/src/gateway/load-forecast.ts
@@ -1,4 +1,4 @@
-import {getSoonestMs} from '@valelead/residency';
+import {getEarliestReadyMs} from '@valelead/residency';
 import type {Demand} from './demand.js';
 import type {LoadCandidates} from './load-candidates.js';
 import {newPlacementRequest} from './new-placement-request.js';
@@ -46,6 +46,6 @@
 			return {loadedAt: undefined};
 		}
 
-		return {loadedAt: now + Math.min(...candidates.map(candidate => getSoonestMs(candidate, shape)))};
+		return {loadedAt: now + Math.min(...candidates.map(candidate => getEarliestReadyMs(candidate, shape)))};
 	}
 }
--- a/apps/valelead-daemon/src/gateway/load-planner.ts
+++ b/apps/valelead-daemon/src/gateway/load-planner.ts
@@ -1,5 +1,5 @@
 import {
-	type UnitNeed, type Wait, getExpectedMs, getLoadSite, getWishedReplicas,
+	type UnitNeed, type Wait, getExpectedReadyMs, getBestLoadCandidate, getTargetReplicas,
 } from '@valelead/residency';
 import {getModelRequests} from './get-model-requests.js';
 import {getTarget} from './get-target.js';
@@ -166,7 +166,7 @@
 		const {replicas, inProgress, waiting: reportedWaiting} = engines.get(model);
 		// The managers of engines report the waiting requests of all gateways, but their reports may not include all requests of this gateway.
 		const allWaiting = Math.max(reportedWaiting, waiting);
-		const targetCount = getWishedReplicas(inProgress + allWaiting, views[0]?.upstream.slots ?? 1);
+		const targetCount = getTargetReplicas(inProgress + allWaiting, views[0]?.upstream.slots ?? 1);
 		// If no engine has loaded the model, the first replica has already been placed for the waiting requests.
 		const missing = targetCount - Math.max(1, replicas.length);
 		if (inProgress >= BUSY_REQUESTS && isOffloadReplicaMissing(views, replicas)) {
@@ -240,7 +240,7 @@
 		const {upstreamId, expectedMs} = selection;
 		const isKept = upstreamId === current?.upstreamId;
 		if (current && !isKept) {
-			this.#parts.onSiteChange({
+			this.#parts.onPlacementChange({
 				key: request.key, fromUpstreamId: current.upstreamId, toUpstreamId: upstreamId, stoodMs: this.#now - current.since, expectedMs, isStuck: exclusion?.upstreamId === current.upstreamId,
 			});
 		}
@@ -280,14 +280,14 @@
 		const all = this.#candidates.getSuitable(request);
 		const included = all.filter(candidate => candidate.upstreamId !== excludedId);
 		const candidates = included.length > 0 ? included : all;
-		const best = getLoadSite(request.key, shape, candidates);
+		const best = getBestLoadCandidate(request.key, shape, candidates);
 		if (!best) {
 			return undefined;
 		}
 
-		const bestMs = getExpectedMs(best, shape);
+		const bestMs = getExpectedReadyMs(best, shape);
 		const current = candidates.find(candidate => candidate.upstreamId === currentId);
-		const currentMs = current ? getExpectedMs(current, shape) : Number.POSITIVE_INFINITY;
+		const currentMs = current ? getExpectedReadyMs(current, shape) : Number.POSITIVE_INFINITY;
 		return current && bestMs + SWITCH_MARGIN_MS >= currentMs
 			? {upstreamId: current.upstreamId, expectedMs: currentMs}
 			: {upstreamId: best.upstreamId, expectedMs: bestMs};
--- a/apps/valelead-daemon/src/gateway/new-admission-request.ts
+++ b/apps/valelead-daemon/src/gateway/new-admission-request.ts
@@ -1,4 +1,4 @@
-import type {Ticket} from '@valelead/admission';
+import type {AdmissionRequest} from '@valelead/admission';
 import {ROUTE_KIND, isRepeatable} from '@valelead/routing';
 import type {GatewayRequest} from './gateway-request.js';
 
@@ -6,7 +6,7 @@
 const SPARE_ATTEMPTS = 2;
 
 /** Returns the fields of a request on which the admission decides. */
-export const newAdmissionRequest = ({id, caller, route, service, target, arrivedAt, deadlineAt}: GatewayRequest): Ticket => ({
+export const newAdmissionRequest = ({id, caller, route, service, target, arrivedAt, deadlineAt}: GatewayRequest): AdmissionRequest => ({
 	requestId: id,
 	team: caller.team?.name ?? '',
 	teamWeight: 1,
@@ -20,5 +20,5 @@
 	isResumable: route.kind === ROUTE_KIND.Stream && route.isResumable,
 	maxRuns: route.maxAttempts,
 	maxAttempts: route.maxAttempts + SPARE_ATTEMPTS,
-	budget: service,
+	retryBudget: service,
 });
--- a/apps/valelead-daemon/src/gateway/new-gateway-admission.ts
+++ b/apps/valelead-daemon/src/gateway/new-gateway-admission.ts
@@ -3,17 +3,17 @@
 /** Constants of a gateway's admission, in addition to its settings. Times are in milliseconds. */
 const GATEWAY_ADMISSION = {
 	maxAttempts: 3,
-	isRefusalBudgeted: true,
-	ejectAfter: 3,
-	ejectMs: 1000,
-	maxEjectMs: 8000,
+	isRefusalCharged: true,
+	failuresBeforeEjection: 3,
+	baseEjectionMs: 1000,
+	maxEjectionMs: 8000,
 	/** Covers the time until a sidecar or the next announcement has reported which models the upstream has loaded. */
-	avoidMs: 400,
+	refusedTargetAvoidMs: 400,
 	creditMarginMs: 0,
 	/** Well above the longest response time of a plain service, and above the time in which an engine prefills several earlier prompts. */
-	unansweredMs: 700,
+	deprioritiseAfterMs: 700,
 	/** Even an engine that prefills prompts for more than a second answers some requests within this time. */
-	darkMs: 1500,
+	ejectUnresponsiveAfterMs: 1500,
 };
 
 /**
@@ -47,15 +47,15 @@
  * been sent yet.
  */
 export const newGatewayAdmission = ({dataCentre, ratio, reserve, windowMs, gatewayCount, countedSince, isUnspent}: BudgetOptions): AdmissionSettings => {
-	const common = {...GATEWAY_ADMISSION, dataCentre, retryShare: ratio * BUDGET_SHARE};
+	const common = {...GATEWAY_ADMISSION, dataCentre, retryTokensPerRequest: ratio * BUDGET_SHARE};
 	if (countedSince === undefined) {
 		return {
-			...common, maxRetryTokens: MAX_UNSHARED_RETRIES, initialRetryTokens: 0, initialRetriesAt: Number.POSITIVE_INFINITY,
+			...common, maxRetryTokens: MAX_UNSHARED_RETRIES, initialRetryTokens: 0, initialRetryTokensAt: Number.POSITIVE_INFINITY,
 		};
 	}
 
 	const share = reserve * BUDGET_SHARE / gatewayCount;
 	return {
-		...common, maxRetryTokens: share, initialRetryTokens: share, initialRetriesAt: isUnspent ? countedSince : countedSince + windowMs,
+		...common, maxRetryTokens: share, initialRetryTokens: share, initialRetryTokensAt: isUnspent ? countedSince : countedSince + windowMs,
 	};
 };
--- a/apps/valelead-daemon/src/gateway/site-change.ts
+++ b/apps/valelead-daemon/src/gateway/placement-change.ts
@@ -1,5 +1,5 @@
 /** The move of a placement request from one engine to another. Times in milliseconds. */
-export type SiteChange = {
+export type PlacementChange = {
 	/** Key of the placement request: the name of a unit, or of a replica of one. */
 	readonly key: string;
 	readonly fromUpstreamId: string;
--- a/apps/valelead-daemon/src/gateway/planner-parts.ts
+++ b/apps/valelead-daemon/src/gateway/planner-parts.ts
@@ -1,7 +1,7 @@
 import type {RouteTable} from '@valelead/routing';
 import type {EngineView} from './engine-view.js';
 import type {StoreLimitChange} from './store-limit-change.js';
-import type {SiteChange} from './site-change.js';
+import type {PlacementChange} from './placement-change.js';
 
 /** Dependencies of the load planner: the state of the engines, and callbacks for its decisions. */
 export type PlannerParts = {
@@ -10,7 +10,7 @@
 	/** True if requests are currently sent to the upstream. */
 	readonly isUsable: (upstreamId: string) => boolean;
 	/** Called when a placement request is moved from one engine to another. */
-	readonly onSiteChange: (change: SiteChange) => void;
+	readonly onPlacementChange: (change: PlacementChange) => void;
 	/** Called when the estimated concurrency limit of the weight store changes. */
-	readonly onStoreLimit: (change: StoreLimitChange) => void;
+	readonly onStoreLimitChange: (change: StoreLimitChange) => void;
 };
--- a/apps/valelead-daemon/src/gateway/quota-gate.ts
+++ b/apps/valelead-daemon/src/gateway/quota-gate.ts
@@ -2,7 +2,7 @@
 	type Clock, type ResultCodeValue, type SuspensionWatch, type TimerService, OUTCOME, type OutcomeValue, RESULT_CODE,
 } from '@valelead/common';
 import {
-	type Loan, type Reservation, type SubjectUsage, LOAN_MS, mutateBorrowed, mutateDemand, mutateReserved, mutateSession, mutateSettled, mutateSubjectReport, newQuotaStock,
+	type Loan, type Reservation, type SubjectUsage, LOAN_MS, mutateGrantedLoans, mutateDemand, mutateReservedUnits, mutateNewSession, mutateSettledReservation, mutateSubjectReport, newQuotaStock,
 } from '@valelead/quota';
 import type {RouteTable} from '@valelead/routing';
 import type {Logger} from 'pino';
@@ -107,7 +107,7 @@
 		const held = this.#held.get(id);
 		if (held) {
 			this.#held.delete(id);
-			mutateSettled(held.reservation, outcome !== OUTCOME.NotRun);
+			mutateSettledReservation(held.reservation, outcome !== OUTCOME.NotRun);
 		}
 	}
 
@@ -134,7 +134,7 @@
 
 	getReport(isFirst: boolean): SubjectUsage[] {
 		if (isFirst) {
-			mutateSession(this.#stock);
+			mutateNewSession(this.#stock);
 			this.#requestAgain();
 		}
 
@@ -149,13 +149,13 @@
 	}
 
 	/** Applies the leader's loans. Loans requested before a suspension of this process are ignored, as the length of the suspension is unknown. */
-	take({term, loans, scarceSubjects, reportedAt}: Parameters<QuotaExchange['take']>[0]): void {
+	handleUpdate({term, loans, scarceSubjects, reportedAt}: Parameters<QuotaExchange['handleUpdate']>[0]): void {
 		const {suspensions} = this.#parts;
 		if (suspensions.resumedAt >= reportedAt) {
 			return;
 		}
 
-		mutateBorrowed(this.#stock, {
+		mutateGrantedLoans(this.#stock, {
 			term, loans, scarceSubjects, validUntil: reportedAt + suspensions.lostMs + LOAN_MS,
 		}, this.#now);
 		if (term !== this.#term) {
@@ -175,7 +175,7 @@
 
 	#admit(request: GatewayRequest): boolean {
 		const {team, cost} = request.caller;
-		const reservation = mutateReserved(this.#stock, team!.name, cost, this.#now);
+		const reservation = mutateReservedUnits(this.#stock, team!.name, cost, this.#now);
 		if (!reservation) {
 			return false;
 		}
@@ -200,7 +200,7 @@
 		for (const [id, {request, reservation}] of this.#held) {
 			if (request.dispatchedAt !== undefined) {
 				this.#held.delete(id);
-				mutateSettled(reservation, true);
+				mutateSettledReservation(reservation, true);
 			}
 		}
 	}
--- a/apps/valelead-daemon/src/gateway/request-dispatcher.ts
+++ b/apps/valelead-daemon/src/gateway/request-dispatcher.ts
@@ -12,19 +12,19 @@
 import type {CrashExchange} from '../follower/crash-exchange.js';
 import {StallWatch} from '../stall-watch.js';
 import type {LimitExchange} from '../follower/limit-exchange.js';
-import {afterTurns} from './after-turns.js';
+import {afterEventLoopIterations} from './after-event-loop-iterations.js';
 import {ActiveAttempts} from './active-attempts.js';
 import {CrashGuard} from './crash-guard.js';
 import {DemandReporter} from './demand-reporter.js';
 import {DispatchLog} from './dispatch-log.js';
-import {getHonestCode} from './get-honest-code.js';
+import {getCallerResultCode} from './get-caller-result-code.js';
 import {LoadPlanner} from './load-planner.js';
-import {newAttemptEnd} from './new-attempt-end.js';
+import {newAttemptFailure} from './new-attempt-failure.js';
 import {newAdmissionRequest} from './new-admission-request.js';
-import {UpstreamLimits} from './upstream-limits.js';
-import {UpstreamBook} from './upstream-book.js';
-import type {AttemptEnd} from './attempt-end.js';
-import type {AttemptTerms} from './attempt-terms.js';
+import {UpstreamRateLimiter} from './upstream-rate-limiter.js';
+import {UpstreamTable} from './upstream-table.js';
+import type {AttemptFailure} from './attempt-failure.js';
+import type {AttemptOptions} from './attempt-options.js';
 import type {CrashCallbacks} from './crash-callbacks.js';
 import type {EngineLinks} from './engine-links.js';
 import type {GatewayRequest} from './gateway-request.js';
@@ -42,13 +42,13 @@
 	readonly getTable: () => RouteTable | undefined;
 	readonly getGatewayCount: () => number;
 	/** Starts an attempt, which sends the request to the upstream. */
-	readonly newAttempt: (terms: AttemptTerms) => SentAttempt;
+	readonly newAttempt: (terms: AttemptOptions) => SentAttempt;
 	/** Called when rate limits of upstreams, or requests that wait because of them, must be reported to the leader immediately. */
-	readonly onLimitNews: () => void;
+	readonly onLimitReportDue: () => void;
 	/** Called for each attempt that is cancelled before its response is complete. */
 	readonly onCancelled: (attempt: SentAttempt) => void;
 	/** Called for each request that is aborted because the gateway stops. */
-	readonly onCut: (request: GatewayRequest) => void;
+	readonly onAborted: (request: GatewayRequest) => void;
 	/** Called for each retry that is due, with true if the retry budget of the service allows it. */
 	readonly onRetry: (service: string, isAllowed: boolean) => void;
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
@@ -82,10 +82,10 @@
 	readonly #requests = new Map<string, GatewayRequest>();
 	readonly #attempts: ActiveAttempts;
 	readonly #log: DispatchLog;
-	readonly #book: UpstreamBook;
+	readonly #book: UpstreamTable;
 	readonly #demand: DemandReporter;
 	readonly #crashes: CrashGuard;
-	readonly #limits: UpstreamLimits;
+	readonly #limits: UpstreamRateLimiter;
 	readonly #stalls: StallWatch;
 	/** Combines refreshes, as reports of many sidecars arrive together and each refresh visits all upstreams. */
 	readonly #refreshes: Coalescer;
@@ -94,9 +94,9 @@
 		this.#parts = parts;
 		this.#log = new DispatchLog(parts.logger);
 		this.#stalls = new StallWatch(parts.clock, parts.timers, stalledMs => {
-			this.#log.noteStall(stalledMs);
+			this.#log.logStall(stalledMs);
 		});
-		this.#book = new UpstreamBook({
+		this.#book = new UpstreamTable({
 			clock: parts.clock,
 			getTable: parts.getTable,
 			getGatewayCount: parts.getGatewayCount,
@@ -109,11 +109,11 @@
 				getTable: parts.getTable,
 				getViews: () => this.#book.views,
 				isUsable: upstreamId => this.#isUsable(upstreamId),
-				onSiteChange: change => {
-					this.#log.noteMoved(change);
+				onPlacementChange: change => {
+					this.#log.logLoadMoved(change);
 				},
-				onStoreLimit: change => {
-					this.#log.noteStoreLimit(change);
+				onStoreLimitChange: change => {
+					this.#log.logStoreLimit(change);
 				},
 			}),
 			residency: parts.residency,
@@ -121,10 +121,10 @@
 			isWaiting: request => this.#state.requests.get(request.id)?.state === 'waiting',
 			giveUp: (request, forecastMs, getSourceCount) => this.#giveUp(request, forecastMs, getSourceCount),
 		});
-		this.#limits = new UpstreamLimits({
+		this.#limits = new UpstreamRateLimiter({
 			...parts,
 			getWaiting: upstreamId => this.#getWaiting(upstreamId),
-			onNeed: parts.onLimitNews,
+			onNeed: parts.onLimitReportDue,
 			onChange: () => {
 				this.#take({kind: 'tick'});
 			},
@@ -178,10 +178,10 @@
 		this.#requests.set(request.id, request);
 		this.#take({
 			kind: 'arrive',
-			ticket: newAdmissionRequest(request),
+			request: newAdmissionRequest(request),
 			limits: LIMITS,
 		});
-		this.#demand.tellSoon();
+		this.#demand.scheduleReport();
 	}
 
 	/** Refuses a request that has not been admitted. */
@@ -210,12 +210,12 @@
 	}
 
 	/** Aborts all requests that are still in progress, with an error that states whether they may have run. */
-	cutAll(code: ResultCodeValue): void {
+	abortAll(code: ResultCodeValue): void {
 		this.#take({kind: 'refuseAll', code});
 		this.#attempts.cancelAll();
 
 		for (const request of this.#requests.values()) {
-			this.#parts.onCut(request);
+			this.#parts.onAborted(request);
 			this.#refuse(request, code, OUTCOME.Unknown, 0, 'the gateway stops');
 		}
 	}
@@ -241,7 +241,7 @@
 
 		this.#book.refresh(table);
 		this.#take({kind: 'endpoints', endpoints: this.#book.endpoints});
-		this.#demand.tellSoon();
+		this.#demand.scheduleReport();
 	}
 
 	close(): void {
@@ -256,7 +256,7 @@
 			newAttempt,
 			getAgent: (upstreamId, service) => this.#book.getAgent(upstreamId, service),
 			onAnswer: upstreamId => {
-				this.#book.noteAnswer(upstreamId);
+				this.#book.noteResponse(upstreamId);
 			},
 			onLimit: (upstreamId, perSecond, startedAt) => {
 				this.#limits.noteAnswer(upstreamId, perSecond, startedAt);
@@ -268,7 +268,7 @@
 				this.#end(request, attemptId, passOn);
 			},
 			onCancelled: attempt => {
-				this.#log.noteCancelled(attempt, clock.now());
+				this.#log.logCancelled(attempt, clock.now());
 				this.#parts.onCancelled(attempt);
 			},
 			onFailed: (request, attemptId, upstream, end) => {
@@ -286,7 +286,7 @@
 			return false;
 		}
 
-		this.#log.noteGivenUp(request, {forecastMs, waitedMs: this.#parts.clock.now() - request.arrivedAt, sourceCount: getSourceCount()});
+		this.#log.logGivenUp(request, {forecastMs, waitedMs: this.#parts.clock.now() - request.arrivedAt, sourceCount: getSourceCount()});
 		this.#take({
 			kind: 'giveUp', requestId: request.id, code: RESULT_CODE.WaitTooLong, retryAfterMs: forecastMs,
 		});
@@ -318,7 +318,7 @@
 	}
 
 	#isUsable(upstreamId: string): boolean {
-		return this.#book.isHeard(upstreamId) && this.#parts.clock.now() >= (this.#state.lanes.get(upstreamId)?.ejectedUntil ?? 0);
+		return this.#book.isResponsive(upstreamId) && this.#parts.clock.now() >= (this.#state.lanes.get(upstreamId)?.ejectedUntil ?? 0);
 	}
 
 	#tick(now: number): void {
@@ -386,7 +386,7 @@
 		let count = 0;
 		for (const [target, queue] of this.#state.queues) {
 			const endpoint = this.#state.endpoints.get(target)?.find(({vm}) => vm === upstreamId);
-			const places = endpoint ? (endpoint.places ?? 0) - inProgress : 0;
+			const places = endpoint ? (endpoint.concurrencyLimit ?? 0) - inProgress : 0;
 			count += Math.min(queue.length, Math.max(0, places));
 		}
 
@@ -416,7 +416,7 @@
 
 			case 'cancel': {
 				this.#attempts.cancel(effect.attemptId);
-				this.#demand.tellSoon();
+				this.#demand.scheduleReport();
 				break;
 			}
 
@@ -429,7 +429,7 @@
 	#noteRetry({requestId, isAllowed, left}: Retry): void {
 		const request = this.#requests.get(requestId);
 		if (request) {
-			this.#log.noteRetry(request, {isAllowed, left, gatewayCount: this.#parts.getGatewayCount()});
+			this.#log.logRetry(request, {isAllowed, left, gatewayCount: this.#parts.getGatewayCount()});
 			this.#parts.onRetry(request.service, isAllowed);
 		}
 	}
@@ -438,7 +438,7 @@
 		// The request is counted before it is sent, because the next decisions depend on the count.
 		this.#limits.noteSent(dispatch.vm);
 		if (this.#stalls.isStalled) {
-			afterTurns(TURNS_TO_READ, () => {
+			afterEventLoopIterations(TURNS_TO_READ, () => {
 				this.#sendUnlessAbandoned(dispatch);
 			});
 			return;
@@ -455,7 +455,7 @@
 			return;
 		}
 
-		if (request.answer.isCallerGone) {
+		if (request.answer.isCallerDisconnected) {
 			this.abandon(requestId);
 		} else {
 			this.#send(dispatch);
@@ -466,7 +466,7 @@
 		const request = this.#requests.get(requestId);
 		const view = this.#book.views.get(vm);
 		if (!request || !view) {
-			this.#fail(attemptId, newAttemptEnd(RESULT_CODE.UpstreamLeaving, OUTCOME.NotRun, 'the upstream has left'));
+			this.#fail(attemptId, newAttemptFailure(RESULT_CODE.UpstreamLeaving, OUTCOME.NotRun, 'the upstream has left'));
 			return;
 		}
 
@@ -480,7 +480,7 @@
 		request.upstreamId = vm;
 		request.attempts += 1;
 		this.#attempts.send(request, {attemptId, upstream: view.upstream, remainingMs});
-		this.#demand.tellSoon();
+		this.#demand.scheduleReport();
 	}
 
 	/** Refuses a request that waited for its first upstream or for a retry and must not be sent now. */
@@ -502,15 +502,15 @@
 	}
 
 	/** @param isLast - True if the request must not be sent to another upstream, as it may have crashed this one. */
-	#fail(attemptId: string, end: AttemptEnd, isLast = false): void {
+	#fail(attemptId: string, end: AttemptFailure, isLast = false): void {
 		const request = this.#getRequest(attemptId);
-		this.#demand.tellSoon();
+		this.#demand.scheduleReport();
 		if (!request) {
 			return;
 		}
 
 		const {code, outcome} = end;
-		this.#log.noteFailed(request, end, isLast);
+		this.#log.logFailed(request, end, isLast);
 		this.#take({
 			kind: 'failed', requestId: request.id, attemptId, code, outcome, jitter: this.#parts.random(), isLast,
 		});
@@ -518,7 +518,7 @@
 
 	#refuse(request: GatewayRequest, code: ResultCodeValue, outcome: OutcomeValue, retryAfterMs: number, reason: string): void {
 		this.#requests.delete(request.id);
-		const honestCode = getHonestCode(code, outcome);
+		const honestCode = getCallerResultCode(code, outcome);
 		request.answer.refuse({
 			code: honestCode, outcome, retryAfterMs: outcome === OUTCOME.NotRun ? retryAfterMs : 0, message: RESULT_DETAILS[honestCode].meaning,
 		});
@@ -527,6 +527,6 @@
 
 	#finish(request: GatewayRequest, code: ResultCodeValue, outcome: OutcomeValue, reason: string): void {
 		this.#parts.onEnd(request, code, outcome, reason);
-		this.#demand.tellSoon();
+		this.#demand.scheduleReport();
 	}
 }
--- a/apps/valelead-daemon/src/gateway/request-handler.ts
+++ b/apps/valelead-daemon/src/gateway/request-handler.ts
@@ -3,13 +3,13 @@
 	type Clock, OUTCOME, RESULT_CODE, RESULT_DETAILS, type ResultCodeValue, ValeleadError,
 } from '@valelead/common';
 import {
-	type Route, type RouteTable, getRoute, getService,
+	type Route, type RouteTable, getRoute, getServiceByWeight,
 } from '@valelead/routing';
 import type {Logger} from 'pino';
 import type {CallerCodec} from '../adapter/caller-codec.js';
 import type {CallerRequest} from '../adapter/caller-request.js';
 import {readBody} from '../read-body.js';
-import {CallerAnswer} from './caller-answer.js';
+import {HttpResponseWriter} from './http-response-writer.js';
 import {getCallerCheck} from './get-caller-check.js';
 import {getForwardedHeaders} from './get-forwarded-headers.js';
 import {getTarget} from './get-target.js';
@@ -24,7 +24,7 @@
 	/** Called with each request once its body has been read completely. */
 	readonly onRequest: (request: GatewayRequest) => void;
 	/** Called when the caller of a request disconnects before the response is complete. */
-	readonly onGone: (request: GatewayRequest) => void;
+	readonly onCallerDisconnected: (request: GatewayRequest) => void;
 	readonly getTable: () => RouteTable | undefined;
 	/** Returns true if the routing is recent enough to rule out that one of its keys has been revoked since. */
 	readonly isConfirmed: () => boolean;
@@ -54,12 +54,12 @@
 	async handle(message: IncomingMessage, response: ServerResponse): Promise<void> {
 		const arrivedAt = this.#parts.clock.now();
 		const head = this.#parts.codec.decodeRequest(message.headers);
-		const answer = new CallerAnswer({response, requestId: head.id, isLast: this.#parts.isStopping});
+		const answer = new HttpResponseWriter({response, requestId: head.id, isLast: this.#parts.isStopping});
 		try {
 			const request = await this.#read(message, head, answer, arrivedAt);
 			response.on('close', () => {
 				if (!answer.isEnded) {
-					this.#parts.onGone(request);
+					this.#parts.onCallerDisconnected(request);
 				}
 			});
 			if (response.destroyed) {
@@ -72,7 +72,7 @@
 		}
 	}
 
-	async #read(message: IncomingMessage, head: CallerRequest, answer: CallerAnswer, arrivedAt: number): Promise<GatewayRequest> {
+	async #read(message: IncomingMessage, head: CallerRequest, answer: HttpResponseWriter, arrivedAt: number): Promise<GatewayRequest> {
 		const table = this.#parts.getTable();
 		if (!table) {
 			throw this.#newError(RESULT_CODE.NoRouting);
@@ -85,7 +85,7 @@
 
 		const caller = this.#getCaller(table, route, head);
 		const body = await readBody(message, table.routing.limits.maxBodyBytes);
-		const service = getService(route, Math.random());
+		const service = getServiceByWeight(route, Math.random());
 		const id = String(this.#nextId);
 		this.#nextId += 1;
 		return newGatewayRequest({
@@ -130,7 +130,7 @@
 		return new ValeleadError(RESULT_DETAILS[code].meaning, {code, outcome: OUTCOME.NotRun, retryAfterMs});
 	}
 
-	#refuse(answer: CallerAnswer, head: CallerRequest, message: IncomingMessage, error: unknown): void {
+	#refuse(answer: HttpResponseWriter, head: CallerRequest, message: IncomingMessage, error: unknown): void {
 		const known = error instanceof ValeleadError ? error : undefined;
 		const code = known?.code ?? RESULT_CODE.MalformedRequest;
 		this.#parts.logger.info({
--- a/apps/valelead-daemon/src/gateway/request-quarantine.ts
+++ b/apps/valelead-daemon/src/gateway/request-quarantine.ts
@@ -7,19 +7,19 @@
 	type Crash,
 	type CrashLedger,
 	type WatchedRun,
-	QUARANTINE_BLAME,
+	QUARANTINE_SCORE,
 	QUARANTINE_MS,
-	SUSPICION_BLAME,
+	SUSPICION_SCORE,
 	getBegunRuns,
-	getBlame,
-	getEvidence,
-	getPartialBlame,
-	isServedLately,
+	getCrashScore,
+	getCrashEvidence,
+	getLocalCrashScore,
+	isRecentlyServed,
 	mutateCrash,
-	mutateOldCrashes,
-	mutateReleased,
-	mutateServed,
-	mutateQuarantined,
+	mutateExpiredCrashes,
+	mutateReleasedRequest,
+	mutateServedRequest,
+	mutateQuarantinedRequests,
 	newCrashLedger,
 } from '@valelead/quarantine';
 import type {Logger} from 'pino';
@@ -38,7 +38,7 @@
 	/** Called when further requests have been quarantined. */
 	readonly onQuarantined: () => void;
 	/** Called when news of crashes must be reported to the leader immediately. */
-	readonly onCrashNews: () => void;
+	readonly onCrashReportDue: () => void;
 	/** Called when all gateways connected to the leader apply the decisions on crashes before `until`, in monotonic milliseconds. */
 	readonly onCrashesKnown: (until: number) => void;
 	/** Called when no gateway, connected or not, sends requests without knowing of the crashes before `until`, in monotonic milliseconds. */
@@ -138,7 +138,7 @@
 
 	/** Returns true if a request's crash score is so high that it must not be retried on a second upstream. */
 	isSuspected(fingerprint: string): boolean {
-		return this.isBlamedByLeader(fingerprint) || getBlame(this.#ledger, fingerprint) >= SUSPICION_BLAME;
+		return this.isBlamedByLeader(fingerprint) || getCrashScore(this.#ledger, fingerprint) >= SUSPICION_SCORE;
 	}
 
 	/** Returns true if a request is quarantined, or if the leader suspects it of more than one crash. */
@@ -148,7 +148,7 @@
 
 	/** Returns true if a request got a complete response so recently that it is not blamed for crashes. */
 	isServedLately(fingerprint: string): boolean {
-		return isServedLately(this.#ledger.served, fingerprint, this.#parts.clock.now());
+		return isRecentlyServed(this.#ledger.lastServedTimes, fingerprint, this.#parts.clock.now());
 	}
 
 	/** Records the crash of an upstream with requests of this gateway in progress. Called again when further requests turn out to have been there. */
@@ -168,7 +168,7 @@
 	/** Records that a request got a complete response; returns true if the leader should learn of it. */
 	noteServed(fingerprint: string): boolean {
 		const now = this.#parts.clock.now();
-		const isNews = mutateServed(this.#ledger, fingerprint, now) || this.#suspects.fingerprints.has(fingerprint) || this.#until.has(fingerprint);
+		const isNews = mutateServedRequest(this.#ledger, fingerprint, now) || this.#suspects.fingerprints.has(fingerprint) || this.#until.has(fingerprint);
 		if (isNews) {
 			this.#cleared.set(fingerprint, now);
 			for (const {run} of this.#crashes.values()) {
@@ -190,7 +190,7 @@
 		return {crashes, served, quarantineVersion: this.#version};
 	}
 
-	take({quarantined, suspected, paused, released, version}: QuarantineList, isLeaders: boolean): void {
+	applyQuarantine({quarantined, suspected, paused, released, version}: QuarantineList, isLeaders: boolean): void {
 		let hasNew = false;
 		this.#committed = new Set(quarantined.map(({fingerprint}) => toText(fingerprint)));
 		for (const {fingerprint, remainingMs} of quarantined) {
@@ -213,7 +213,7 @@
 	}
 
 	/** Revokes this gateway's own decisions that the leader has not made too, as the leader knows at least as much as this gateway. */
-	noteHeard(reportedAt: number, isLeaseGranted: boolean): void {
+	noteReported(reportedAt: number, isLeaseGranted: boolean): void {
 		if (isLeaseGranted) {
 			this.#suspects.confirm(reportedAt);
 		}
@@ -228,11 +228,11 @@
 		}
 	}
 
-	noteKnown(reportedAt: number): void {
+	noteReachableGatewaysApplied(reportedAt: number): void {
 		this.#parts.onCrashesKnown(reportedAt);
 	}
 
-	noteObeyed(reportedAt: number): void {
+	noteAllGatewaysApplied(reportedAt: number): void {
 		this.#parts.onCrashesObeyed(reportedAt);
 	}
 
@@ -258,7 +258,7 @@
 		}
 
 		if (served.length > 0) {
-			this.#parts.onCrashNews();
+			this.#parts.onCrashReportDue();
 		}
 	}
 
@@ -267,7 +267,7 @@
 			return;
 		}
 
-		const quarantined = mutateQuarantined(this.#ledger, fingerprints, fingerprint => this.#getOwnBlame(fingerprint));
+		const quarantined = mutateQuarantinedRequests(this.#ledger, fingerprints, fingerprint => this.#getOwnBlame(fingerprint));
 		for (const fingerprint of quarantined) {
 			this.#ownDecisions.set(fingerprint, this.#parts.clock.now());
 			this.#quarantine(fingerprint, QUARANTINE_MS, 'own');
@@ -280,13 +280,13 @@
 
 	#getOwnBlame(fingerprint: string): number {
 		if (this.#suspects.isLocallyQuarantined(this.#getBegunCrashes(fingerprint))) {
-			return QUARANTINE_BLAME;
+			return QUARANTINE_SCORE;
 		}
 
 		const isSuspected = this.#suspects.fingerprints.has(fingerprint);
 		// Crashes that were evicted for newer ones were reported long ago.
 		const isReported = (runId: string): boolean => (this.#crashes.get(runId)?.at ?? Number.NEGATIVE_INFINITY) < this.#reportedUntil;
-		return getPartialBlame(this.#ledger, fingerprint, runId => !isSuspected && isReported(runId));
+		return getLocalCrashScore(this.#ledger, fingerprint, runId => !isSuspected && isReported(runId));
 	}
 
 	#revokeOwnDecision(fingerprint: string): void {
@@ -310,7 +310,7 @@
 				remainingMs: Math.round(remainingMs),
 				upstreams: [...this.#ledger.runsBySuspect.get(fingerprint) ?? []],
 				servedAgoMs: this.#getServedAgoMs(fingerprint),
-				evidence: getEvidence(this.#ledger, fingerprint, now),
+				evidence: getCrashEvidence(this.#ledger, fingerprint, now),
 			}, 'a request is kept from upstreams');
 		}
 
@@ -319,7 +319,7 @@
 
 	/** Returns the time since a request last got a complete response at this gateway, in milliseconds; undefined if it never did. */
 	#getServedAgoMs(fingerprint: string): number | undefined {
-		const at = this.#ledger.served.get(fingerprint);
+		const at = this.#ledger.lastServedTimes.get(fingerprint);
 		return at === undefined ? undefined : Math.round(this.#parts.clock.now() - at);
 	}
 
@@ -328,7 +328,7 @@
 			if (now >= until) {
 				this.#until.delete(fingerprint);
 				this.#ownDecisions.delete(fingerprint);
-				mutateReleased(this.#ledger, fingerprint, true);
+				mutateReleasedRequest(this.#ledger, fingerprint, true);
 			}
 		}
 
@@ -338,7 +338,7 @@
 			}
 		}
 
-		mutateOldCrashes(this.#ledger, now);
+		mutateExpiredCrashes(this.#ledger, now);
 		this.#quarantineBlamed([...this.#ledger.runsBySuspect.keys()]);
 		for (const runId of this.#crashes.keys()) {
 			if (!this.#ledger.crashes.has(runId)) {
@@ -348,7 +348,7 @@
 	}
 
 	#release(fingerprint: string): void {
-		mutateReleased(this.#ledger, fingerprint, false);
+		mutateReleasedRequest(this.#ledger, fingerprint, false);
 		for (const {run} of this.#crashes.values()) {
 			run.suspects.delete(fingerprint);
 		}
--- a/apps/valelead-daemon/src/gateway/request-intake.ts
+++ b/apps/valelead-daemon/src/gateway/request-receiver.ts
@@ -28,7 +28,7 @@
 };
 
 /** Passes requests through the quota check to the dispatcher, and records their ends in the quota accounting, the metrics and the log. */
-export class RequestIntake {
+export class RequestReceiver {
 	readonly #parts: IntakeParts;
 	readonly #gate: QuotaGate;
 	readonly #completions: CompletionRecorder;
@@ -74,7 +74,7 @@
 	}
 
 	/** Records a request that is aborted because the gateway stops. */
-	noteCut(request: GatewayRequest): void {
+	recordAborted(request: GatewayRequest): void {
 		this.#completions.recordAborted(request);
 	}
 
--- a/apps/valelead-daemon/src/gateway/answer-pipe.ts
+++ b/apps/valelead-daemon/src/gateway/response-forwarder.ts
@@ -8,7 +8,7 @@
 const HTTP_OK = 200;
 
 /** Forwards an upstream's response to the caller. Streams are forwarded as they arrive; other responses are buffered until they are complete. */
-export class AnswerPipe {
+export class ResponseForwarder {
 	readonly #request: GatewayRequest;
 	readonly #status: number;
 	readonly #headers: readonly string[];
@@ -36,7 +36,7 @@
 			return;
 		}
 
-		const {bytes, lastEventId} = this.#splitter.take(chunk);
+		const {bytes, lastEventId} = this.#splitter.addChunk(chunk);
 		this.#request.lastEventId = lastEventId ?? this.#request.lastEventId;
 		if (bytes.length > 0) {
 			this.#write(bytes);
--- a/apps/valelead-daemon/src/gateway/answer.ts
+++ b/apps/valelead-daemon/src/gateway/response-writer.ts
@@ -2,12 +2,12 @@
 import type {Refusal} from '../entry/refusal.js';
 
 /** Writes the single response that a caller gets to its request. */
-export type Answer = {
+export type ResponseWriter = {
 	/** True once the status line has been written, after which no other response can be sent. */
 	readonly isStarted: boolean;
 	readonly isEnded: boolean;
 	/** True if the caller is known to have closed its connection. */
-	readonly isCallerGone: boolean;
+	readonly isCallerDisconnected: boolean;
 	/**
 	 * Writes the status and headers of an upstream's response.
 	 * @param rawHeaders - Headers to forward, as name, value, name, value …
--- a/apps/valelead-daemon/src/gateway/upstream-attempt.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-attempt.ts
@@ -2,25 +2,25 @@
 import {
 	type ClientRequest, type IncomingMessage, request as newHttpRequest,
 } from 'node:http';
-import {ANSWER_DEFECT, ReceivedAnswer} from '@valelead/answer';
+import {RESPONSE_DEFECT, ReceivedResponse} from '@valelead/answer';
 import {
 	abortRequest, OUTCOME, RESULT_CODE, type ResultCodeValue,
 } from '@valelead/common';
 import {SUSPECT_PHASE, type SuspectPhaseValue} from '@valelead/quarantine';
 import {getHost} from '../get-host.js';
 import {getPort} from '../get-port.js';
-import {CONNECTION_END} from './connection-end.js';
-import {getConnectionEnd} from './get-connection-end.js';
-import {newAttemptEnd} from './new-attempt-end.js';
-import type {AttemptTerms} from './attempt-terms.js';
-import type {ConnectionEndValue} from './connection-end-value.js';
+import {CONNECTION_STATE} from './connection-state.js';
+import {getConnectionState} from './get-connection-state.js';
+import {newAttemptFailure} from './new-attempt-failure.js';
+import type {AttemptOptions} from './attempt-options.js';
+import type {ConnectionStateValue} from './connection-state-value.js';
 import type {SentAttempt} from './sent-attempt.js';
 
 const BODYLESS_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'DELETE']);
 
 /** One attempt to send a request to an upstream over HTTP. */
 export class UpstreamAttempt implements SentAttempt {
-	readonly #parts: AttemptTerms;
+	readonly #parts: AttemptOptions;
 	readonly #request: ClientRequest;
 	/** True if bytes of the request may have been sent. */
 	#isSent = false;
@@ -28,7 +28,7 @@
 	#hasBody = false;
 	#isOver = false;
 
-	constructor(parts: AttemptTerms) {
+	constructor(parts: AttemptOptions) {
 		this.#parts = parts;
 		this.#request = this.#send();
 	}
@@ -65,7 +65,7 @@
 	}
 
 	/** Ends the attempt and its connection, and reports the given failure. */
-	fail(code: ResultCodeValue, reason: string, connection: ConnectionEndValue = CONNECTION_END.Intact): void {
+	fail(code: ResultCodeValue, reason: string, connection: ConnectionStateValue = CONNECTION_STATE.Intact): void {
 		this.#end(() => {
 			this.#parts.events.onFailure({
 				code: this.#isSent ? code : RESULT_CODE.UpstreamUnreachable,
@@ -113,7 +113,7 @@
 			this.#takeAnswer(answer);
 		});
 		request.on('error', error => {
-			this.fail(this.#isAnswered ? RESULT_CODE.AnswerCut : RESULT_CODE.UpstreamFailed, error.message, getConnectionEnd(error));
+			this.fail(this.#isAnswered ? RESULT_CODE.AnswerCut : RESULT_CODE.UpstreamFailed, error.message, getConnectionState(error));
 		});
 		request.end(body);
 		return request;
@@ -132,7 +132,7 @@
 			answer.resume();
 			this.#end(() => {
 				const code = head.isOtherUpstream ? RESULT_CODE.UpstreamLeaving : RESULT_CODE.UpstreamRejected;
-				events.onFailure(newAttemptEnd(code, OUTCOME.NotRun, `status ${answer.statusCode}`));
+				events.onFailure(newAttemptFailure(code, OUTCOME.NotRun, `status ${answer.statusCode}`));
 			});
 			return;
 		}
@@ -151,9 +151,9 @@
 	}
 
 	#pass(answer: IncomingMessage): void {
-		const received = new ReceivedAnswer(answer, this.#parts.method);
+		const received = new ReceivedResponse(answer, this.#parts.method);
 		answer.on('data', (chunk: Buffer) => {
-			received.take(chunk);
+			received.addChunk(chunk);
 			this.#hasBody = true;
 			if (!this.#isOver) {
 				this.#parts.events.onData(chunk);
@@ -164,14 +164,14 @@
 			if (defect === undefined) {
 				this.#end(this.#parts.events.onEnd);
 			} else {
-				this.fail(RESULT_CODE.AnswerCut, defect, received.isConnectionOver ? CONNECTION_END.Broken : CONNECTION_END.Intact);
+				this.fail(RESULT_CODE.AnswerCut, defect, received.isConnectionEnded ? CONNECTION_STATE.Broken : CONNECTION_STATE.Intact);
 			}
 		});
 		answer.on('error', error => {
-			this.fail(RESULT_CODE.AnswerCut, error.message, getConnectionEnd(error));
+			this.fail(RESULT_CODE.AnswerCut, error.message, getConnectionState(error));
 		});
 		answer.on('close', () => {
-			this.fail(RESULT_CODE.AnswerCut, ANSWER_DEFECT.Incomplete, CONNECTION_END.Broken);
+			this.fail(RESULT_CODE.AnswerCut, RESPONSE_DEFECT.Incomplete, CONNECTION_STATE.Broken);
 		});
 	}
 
--- a/apps/valelead-daemon/src/gateway/upstream-limits.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-rate-limiter.ts
@@ -2,7 +2,7 @@
 import type {Clock, SuspensionWatch, TimerService} from '@valelead/common';
 import type {QuotaGrant} from '@valelead/protocol';
 import {
-	type SubjectUsage, LOAN_MS, getStockAmount, mutateBorrowed, mutateDemand, mutateReserved, mutateSession, mutateSettled, mutateSubjectReport, newQuotaStock,
+	type SubjectUsage, LOAN_MS, getAvailableUnits, mutateGrantedLoans, mutateDemand, mutateReservedUnits, mutateNewSession, mutateSettledReservation, mutateSubjectReport, newQuotaStock,
 } from '@valelead/quota';
 import type {Logger} from 'pino';
 import type {LimitExchange} from '../follower/limit-exchange.js';
@@ -48,7 +48,7 @@
  * Enforces the rate limits that upstreams state in their responses. A limit applies to all gateways together: the leader distributes it to all of
  * them and lends each the number of requests that it may send. Without a loan, no request is sent to an upstream with a limit.
  */
-export class UpstreamLimits implements LimitExchange {
+export class UpstreamRateLimiter implements LimitExchange {
 	readonly #parts: LimitsParts;
 	readonly #known: RateLimitTable;
 	readonly #stock = newQuotaStock();
@@ -81,7 +81,7 @@
 	getSendLimits(): ReadonlyMap<string, SendLimit> {
 		const now = this.#now;
 		return new Map(this.#known.upstreamIds.map(upstreamId => [upstreamId, {
-			sends: getStockAmount(this.#stock, upstreamId, now), perSecond: Math.min(this.#known.getPerSecond(upstreamId)!, this.#getLoanRate(upstreamId)),
+			sends: getAvailableUnits(this.#stock, upstreamId, now), perSecond: Math.min(this.#known.getPerSecond(upstreamId)!, this.#getLoanRate(upstreamId)),
 		}]));
 	}
 
@@ -92,9 +92,9 @@
 		}
 
 		mutateDemand(this.#stock, upstreamId, REQUEST_COST, this.#now);
-		const reservation = mutateReserved(this.#stock, upstreamId, REQUEST_COST, this.#now);
+		const reservation = mutateReservedUnits(this.#stock, upstreamId, REQUEST_COST, this.#now);
 		if (reservation) {
-			mutateSettled(reservation, true);
+			mutateSettledReservation(reservation, true);
 		}
 	}
 
@@ -132,7 +132,7 @@
 
 	getReport(sentAt: number, isFirst: boolean): ReturnType<LimitExchange['getReport']> {
 		if (isFirst) {
-			mutateSession(this.#stock);
+			mutateNewSession(this.#stock);
 			this.#nextRequestAt.clear();
 			this.#known.markAllUnreported();
 		}
@@ -144,7 +144,7 @@
 	}
 
 	/** Applies limits and loans. Loans requested before a suspension of this process are ignored, as the length of the suspension is unknown. */
-	take({limits, grant, reportedAt}: Parameters<LimitExchange['take']>[0]): void {
+	handleUpdate({limits, grant, reportedAt}: Parameters<LimitExchange['handleUpdate']>[0]): void {
 		if (limits && this.#known.applyList(limits, reportedAt)) {
 			this.#nextRequestAt.clear();
 			this.#known.markAllUnreported();
@@ -175,7 +175,7 @@
 			return 0;
 		}
 
-		return Math.min(MAX_REQUESTED_LOANS, this.#parts.getWaiting(upstreamId) - getStockAmount(this.#stock, upstreamId, now));
+		return Math.min(MAX_REQUESTED_LOANS, this.#parts.getWaiting(upstreamId) - getAvailableUnits(this.#stock, upstreamId, now));
 	}
 
 	#newUsage(upstreamId: string, now: number): SubjectUsage | undefined {
@@ -188,7 +188,7 @@
 	}
 
 	#takeGrant({term, loans, scarceSubjects}: QuotaGrant, reportedAt: number): void {
-		mutateBorrowed(this.#stock, {
+		mutateGrantedLoans(this.#stock, {
 			term, loans, scarceSubjects, validUntil: reportedAt + this.#parts.suspensions.lostMs + LOAN_MS,
 		}, this.#now);
 		for (const {subject, amount, waitMs} of loans) {
--- a/apps/valelead-daemon/src/gateway/upstream-book.ts
+++ b/apps/valelead-daemon/src/gateway/upstream-table.ts
@@ -20,7 +20,7 @@
 const RECENT_RESPONSE_MS = 3000;
 
 /** Table of the upstreams that a gateway knows, with the connections to them and the time of their last response. */
-export class UpstreamBook {
+export class UpstreamTable {
 	readonly #parts: TableParts;
 	readonly #fleet = new EngineFleet();
 	readonly #pool = new UpstreamPool();
@@ -67,12 +67,12 @@
 		return this.#pool.get(upstreamId, Math.max(1, Math.floor(maxConnections / this.#parts.getGatewayCount())));
 	}
 
-	noteAnswer(upstreamId: string): void {
+	noteResponse(upstreamId: string): void {
 		this.#respondedAt.set(upstreamId, this.#parts.clock.now());
 	}
 
 	/** True if the upstream still announces itself, or has responded to a request recently. */
-	isHeard(upstreamId: string): boolean {
+	isResponsive(upstreamId: string): boolean {
 		const respondedAt = this.#respondedAt.get(upstreamId) ?? Number.NEGATIVE_INFINITY;
 		return this.views.get(upstreamId)?.upstream.state === UPSTREAM_STATE.Ready || this.#parts.clock.now() - respondedAt < RECENT_RESPONSE_MS;
 	}
--- a/apps/valelead-daemon/src/keeping/engine-keepers.ts
+++ b/apps/valelead-daemon/src/keeping/engine-keepers.ts
@@ -7,8 +7,8 @@
 import type {RouteTable} from '@valelead/routing';
 import type {Logger} from 'pino';
 import type {EngineCodec} from '../adapter/engine-codec.js';
-import type {DutyGrant} from '../follower/duty-grant.js';
-import type {DutyReport} from '../follower/duty-report.js';
+import type {OrderLeaseUpdate} from '../follower/order-lease-update.js';
+import type {OrderLeaseReport} from '../follower/order-lease-report.js';
 import {EngineClient} from '../sidecar/engine-client.js';
 import {EngineKeeper} from '../sidecar/engine-keeper.js';
 import {newCapacity} from '../sidecar/new-capacity.js';
@@ -59,7 +59,7 @@
 	}
 
 	/** What the leader is told: leases that are over are told apart. */
-	getReport(): Pick<DutyReport, 'keeperAddress' | 'leases' | 'endedLeases'> {
+	getReport(): Pick<OrderLeaseReport, 'keeperAddress' | 'leases' | 'endedLeases'> {
 		const now = this.#parts.clock.now();
 		const kept = this.#end.isOver ? [] : [...this.#kept.values()];
 		return {
@@ -74,7 +74,7 @@
 	}
 
 	/** Takes all leases of this process. */
-	take({leases, reportedAt}: DutyGrant): void {
+	take({leases, reportedAt}: OrderLeaseUpdate): void {
 		if (this.#isStopped || !this.#end.confirm(reportedAt)) {
 			return;
 		}
@@ -115,7 +115,7 @@
 		}
 	}
 
-	#getEnded(now: number): DutyReport['endedLeases'] {
+	#getEnded(now: number): OrderLeaseReport['endedLeases'] {
 		for (const [address, at] of this.#ended) {
 			if (now - at > ENDED_TOLD_MS) {
 				this.#ended.delete(address);
--- a/apps/valelead-daemon/src/sidecar/engine-keeper.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-keeper.ts
@@ -1,7 +1,7 @@
 import {assertNever} from '@valelead/common';
 import {
-	type Capacity, type EngineOrder, type Holdings, type OrderResultValue, type UnitNeed, type EngineCopies, ORDER_KIND, ORDER_RESULT,
-	getLoadMs, getLoadValue, getNextStep, getWaits, isStoreLoad, mutateCopyLoad, getWantedMs, mutateUse, mutateWanted, newResidencyState,
+	type Capacity, type EngineOrder, type EngineModels, type OrderResultValue, type UnitNeed, type EngineCopies, ORDER_KIND, ORDER_RESULT,
+	getLoadMs, getLoadValue, getNextStep, getWaits, isStoreLoad, mutateCopyLoadRate, getModelWaitMs, mutateLastUsedAt, mutateModelWaits, newResidencyState,
 } from '@valelead/residency';
 import type {Run, Upstream} from '@valelead/discovery';
 import type {EngineStatus} from '../adapter/engine-status.js';
@@ -121,7 +121,7 @@
 	setNeeds(streamId: string, needs: readonly UnitNeed[]): void {
 		const toldAt = this.#parts.clock.now();
 		this.#needs.set(streamId, needs, toldAt);
-		mutateUse(this.#residency, needs, toldAt);
+		mutateLastUsedAt(this.#residency, needs, toldAt);
 		this.#prefetcher.noteNeeds(needs);
 		this.#publisher.publishSoon();
 		if (needs.some(need => need.waiting > 0)) {
@@ -148,7 +148,7 @@
 			needs: this.#getNeeds(),
 			leaving: this.#leaving.order,
 			loading: this.#loading,
-			getWantedMs: model => getWantedMs(this.#residency, model),
+			getWantedMs: model => getModelWaitMs(this.#residency, model),
 			now: this.#parts.clock.now(),
 		});
 	}
@@ -161,7 +161,7 @@
 		this.#reader.expire();
 	}
 
-	#getHoldings(status: EngineStatus): Holdings {
+	#getHoldings(status: EngineStatus): EngineModels {
 		const lateLoads = this.#unanswered.getPossible(this.#run.id, status.orderSequence, this.#parts.clock.now());
 		return newHoldings(status, this.#prefetcher.replicated, lateLoads);
 	}
@@ -226,7 +226,7 @@
 		}
 
 		const needs = this.#getNeeds();
-		mutateWanted(this.#residency, needs, now);
+		mutateModelWaits(this.#residency, needs, now);
 		const fetched = this.#prefetcher.getNeeds(this.#run.id, [...this.#capacity.models.keys()]);
 		const holdings = this.#getHoldings(this.#known.value!);
 		const step = getNextStep(this.#residency, this.#capacity, holdings, [...needs, ...fetched], now);
@@ -237,7 +237,7 @@
 
 			case 'delay': {
 				this.#delays.note(step.load, {
-					upstreamId: this.#run.id, capacity: this.#capacity, holdings, needs, wantedMs: getWantedMs(this.#residency, step.load.model),
+					upstreamId: this.#run.id, capacity: this.#capacity, holdings, needs, wantedMs: getModelWaitMs(this.#residency, step.load.model),
 				});
 				return undefined;
 			}
@@ -309,7 +309,7 @@
 		const loadMs = getLoadMs(capacity, holdings, model);
 		const isFetch = isStoreLoad(capacity, holdings, model);
 		if (!isFetch) {
-			mutateCopyLoad(this.#residency, getLoadValue(getWaits(this.#getNeeds(), model), loadMs), startedAt);
+			mutateCopyLoadRate(this.#residency, getLoadValue(getWaits(this.#getNeeds(), model), loadMs), startedAt);
 		}
 
 		return {
--- a/apps/valelead-daemon/src/sidecar/load-delay-log.ts
+++ b/apps/valelead-daemon/src/sidecar/load-delay-log.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@valelead/common';
 import {
-	type Capacity, type DelayedLoad, type Holdings, type UnitNeed, getWaits, isStoreLoad,
+	type Capacity, type DelayedLoad, type EngineModels, type UnitNeed, getWaits, isStoreLoad,
 } from '@valelead/residency';
 import type {Logger} from 'pino';
 
@@ -13,7 +13,7 @@
 type DelayInputs = {
 	readonly upstreamId: string;
 	readonly capacity: Capacity;
-	readonly holdings: Holdings;
+	readonly holdings: EngineModels;
 	readonly needs: readonly UnitNeed[];
 	/** For how long requests have waited for the model, in milliseconds. */
 	readonly wantedMs: number;
--- a/apps/valelead-daemon/src/sidecar/new-capacity.ts
+++ b/apps/valelead-daemon/src/sidecar/new-capacity.ts
@@ -1,5 +1,5 @@
 import type {Capacity} from '@valelead/residency';
-import {type RouteTable, getModelShapes} from '@valelead/routing';
+import {type RouteTable, getModelProfiles} from '@valelead/routing';
 
 /** What an engine of a service may hold; undefined where the routing does not describe it. */
 export const newCapacity = (table: RouteTable, service: string): Capacity | undefined => {
@@ -7,6 +7,6 @@
 	return engine && {
 		weightMemory: engine.weightMemory,
 		adapterSlots: engine.adapterSlots,
-		models: getModelShapes(engine),
+		models: getModelProfiles(engine),
 	};
 };
--- a/apps/valelead-daemon/src/sidecar/new-engine-copies.ts
+++ b/apps/valelead-daemon/src/sidecar/new-engine-copies.ts
@@ -6,6 +6,6 @@
 	.filter(upstream => upstream.service === service && upstream.state === UPSTREAM_STATE.Ready)
 	.map(({id, models, copiesInMemory, copiesOnDisk}) => ({
 		upstreamId: id,
-		held: new Set(models.map(model => model.name)),
+		loaded: new Set(models.map(model => model.name)),
 		models: new Set([...models.map(model => model.name), ...copiesInMemory, ...copiesOnDisk]),
 	}));
--- a/apps/valelead-daemon/src/sidecar/new-engine-summary.ts
+++ b/apps/valelead-daemon/src/sidecar/new-engine-summary.ts
@@ -1,5 +1,5 @@
 import {
-	type Capacity, type EngineOrder, type Holdings, type ModelLoad, type UnitNeed, getLoadMs, getLoadQueue,
+	type Capacity, type EngineOrder, type EngineModels, type ModelLoad, type UnitNeed, getLoadMs, getLoadQueue,
 } from '@valelead/residency';
 import type {EngineStatus} from '../adapter/engine-status.js';
 import {getPace} from './get-pace.js';
@@ -11,7 +11,7 @@
 	readonly upstreamId: string;
 	readonly status: EngineStatus;
 	readonly capacity: Capacity | undefined;
-	readonly holdings: Holdings;
+	readonly holdings: EngineModels;
 	readonly needs: readonly UnitNeed[];
 	/** What is about to be unloaded; it is not offered any more. */
 	readonly leaving: EngineOrder | undefined;
@@ -52,7 +52,7 @@
 		}]
 		: [];
 	for (const model of getLoadQueue({
-		held, needs, getLoadMs: getModelMs, getWantedMs,
+		loaded: held, needs, getLoadMs: getModelMs, getModelWaitMs: getWantedMs,
 	})) {
 		if (model !== current?.model && capacity.models.has(model)) {
 			remainingMs += getModelMs(model);
--- a/apps/valelead-daemon/src/sidecar/new-holdings.ts
+++ b/apps/valelead-daemon/src/sidecar/new-holdings.ts
@@ -1,4 +1,4 @@
-import type {EngineOrder, Holdings} from '@valelead/residency';
+import type {EngineOrder, EngineModels} from '@valelead/residency';
 import type {EngineStatus} from '../adapter/engine-status.js';
 
 /**
@@ -6,10 +6,10 @@
  * @param replicated - Models that other engines hold as well.
  * @param lateLoads - Loads that orders to an earlier run may still begin.
  */
-export const newHoldings = ({models, pending, isBusy, copiesInMemory, copiesOnDisk}: EngineStatus, replicated: ReadonlySet<string>, lateLoads: readonly EngineOrder[]): Holdings => ({
+export const newHoldings = ({models, pending, isBusy, copiesInMemory, copiesOnDisk}: EngineStatus, replicated: ReadonlySet<string>, lateLoads: readonly EngineOrder[]): EngineModels => ({
 	isBusy,
-	lateLoads,
-	replicated,
+	unconfirmedLoads: lateLoads,
+	loadedElsewhere: replicated,
 	copiesInMemory,
 	copiesOnDisk,
 	models: models.map(({name, adapters}) => {
--- a/apps/valelead-daemon/src/sidecar/new-order-record.ts
+++ b/apps/valelead-daemon/src/sidecar/new-order-record.ts
@@ -1,5 +1,5 @@
 import {
-	type Capacity, type EngineOrder, type Holdings, type ResidencyState, type UnitNeed, ORDER_KIND, getLoadMs, getWantedMs,
+	type Capacity, type EngineOrder, type EngineModels, type ResidencyState, type UnitNeed, ORDER_KIND, getLoadMs, getModelWaitMs,
 } from '@valelead/residency';
 import type {OrderReply} from './order-reply.js';
 
@@ -8,13 +8,13 @@
 	readonly expectedSequence: number;
 	readonly tookMs: number;
 	readonly capacity: Capacity;
-	readonly holdings: Holdings;
+	readonly holdings: EngineModels;
 	readonly needs: readonly UnitNeed[];
 	readonly residency: ResidencyState;
 };
 
 /** Where an engine would load a model from. */
-const getSource = ({copiesInMemory, copiesOnDisk}: Holdings, model: string): string => {
+const getSource = ({copiesInMemory, copiesOnDisk}: EngineModels, model: string): string => {
 	if (copiesInMemory.includes(model)) {
 		return 'memory';
 	}
@@ -28,7 +28,7 @@
 	const waiting = needs.filter(need => need.model === model).reduce((sum, need) => sum + need.waiting, 0);
 	const wantedModels = new Set(needs.filter(need => need.waiting > 0).map(need => need.model)).size;
 	const source = getSource(holdings, model);
-	const load = {source, wantedMs: Math.round(getWantedMs(residency, model)), loadMs: getLoadMs(capacity, holdings, model)};
+	const load = {source, wantedMs: Math.round(getModelWaitMs(residency, model)), loadMs: getLoadMs(capacity, holdings, model)};
 	return {
 		event: 'order', order: kind, model, adapter, upstreamId, expectedSequence, result, reason, tookMs: Math.round(tookMs), waiting, wantedModels, ...(kind === ORDER_KIND.Load && load),
 	};
--- a/apps/valelead-daemon/src/sidecar/prefetcher.ts
+++ b/apps/valelead-daemon/src/sidecar/prefetcher.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@valelead/common';
 import {
-	type EngineCopies, type UnitNeed, getBalancingFetch, getPrefetch,
+	type EngineCopies, type UnitNeed, getRebalancingFetch, getPrefetch,
 } from '@valelead/residency';
 
 type PrefetcherParts = {
@@ -52,7 +52,7 @@
 		this.#enginesChangedAt = ids === this.#engineIds ? this.#enginesChangedAt : this.#parts.clock.now();
 		this.#engineIds = ids;
 		this.#engines = engines;
-		this.#replicated = new Set(engines.filter(engine => engine.upstreamId !== upstreamId).flatMap(engine => [...engine.held]));
+		this.#replicated = new Set(engines.filter(engine => engine.upstreamId !== upstreamId).flatMap(engine => [...engine.loaded]));
 	}
 
 	/** Notes what a gateway needs of the engine. */
@@ -90,6 +90,6 @@
 			return missing;
 		}
 
-		return getBalancingFetch(upstreamId, models, this.#engines, concurrentStoreLoads);
+		return getRebalancingFetch(upstreamId, models, this.#engines, concurrentStoreLoads);
 	}
 }
--- a/apps/valelead-daemon/src/sidecar/start-sidecar.ts
+++ b/apps/valelead-daemon/src/sidecar/start-sidecar.ts
@@ -37,11 +37,11 @@
 		clock: SYSTEM_CLOCK,
 		suspensions: SYSTEM_SUSPENSIONS,
 		logger,
-		duties: {
+		orderLeases: {
 			getReport: () => ({
 				attendedEngines: [settings.engine], keeperAddress: '', isStopping: false, leases: [], endedLeases: [],
 			}),
-			take(grant) {
+			handleUpdate(grant) {
 				ordersFrom = getOrderStart(ordersFrom, grant, SYSTEM_CLOCK.now());
 				keeper.setStart(ordersFrom);
 			},
--- a/apps/valelead-daemon/tests/broken-answers.steps.ts
+++ b/apps/valelead-daemon/tests/broken-answers.steps.ts
@@ -6,7 +6,7 @@
 	OUTCOME, RESULT_CODE, SYSTEM_CLOCK, TimerService,
 } from '@valelead/common';
 import {sendRawRequest} from './send-raw-request.js';
-import {CallerAnswer, StreamSink} from 'valelead-daemon';
+import {HttpResponseWriter, StreamSink} from 'valelead-daemon';
 
 type BrokenWorld = {
 	sight: Awaited<ReturnType<typeof sendRawRequest>>;
@@ -25,8 +25,8 @@
 	code: RESULT_CODE.AnswerCut, outcome: OUTCOME.Unknown, message: 'cut', retryAfterMs: 0,
 };
 
-const newAnswer = (response: ServerResponse): CallerAnswer => {
-	const answer = new CallerAnswer({response, requestId: '1', isLast: () => true});
+const newAnswer = (response: ServerResponse): HttpResponseWriter => {
+	const answer = new HttpResponseWriter({response, requestId: '1', isLast: () => true});
 	answer.start(200, ['content-type', 'text/event-stream'], undefined);
 	return answer;
 };
--- a/apps/valelead-daemon/tests/crash-simulation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -15,7 +15,7 @@
 import {SimulatedLink} from './simulated-link.js';
 import {SimulatedVoters} from './simulated-voters.js';
 import {
-	type GatewayRequest, CONNECTION_END, CrashGuard, FollowerSessions, GatewayLeases, QuarantineRegistry, StallWatch, encodeCrash,
+	type GatewayRequest, CONNECTION_STATE, CrashGuard, FollowerSessions, GatewayLeases, QuarantineRegistry, StallWatch, encodeCrash,
 } from 'valelead-daemon';
 
 type Gateway = {
@@ -122,7 +122,7 @@
 			this.#announceReplaced(upstream);
 			process.take(() => {
 				guard.noteEnd(request, upstream, {
-					code: RESULT_CODE.AnswerCut, outcome: OUTCOME.Unknown, reason: 'reset', connection: CONNECTION_END.Broken, phase: SUSPECT_PHASE.Begun,
+					code: RESULT_CODE.AnswerCut, outcome: OUTCOME.Unknown, reason: 'reset', connection: CONNECTION_STATE.Broken, phase: SUSPECT_PHASE.Begun,
 				}, isLast => {
 					if (isLast) {
 						answer();
@@ -158,9 +158,9 @@
 			clock,
 			timers,
 			logger: pino({level: 'silent'}),
-			getPausedCrashes: () => gatewayLeases.pausedCrashes,
+			getPauseThreshold: () => gatewayLeases.pauseThreshold,
 			onChange: () => {
-				this.#sessions?.[index].pushSoon();
+				this.#sessions?.[index].schedulePush();
 			},
 		});
 		const {voters} = this;
@@ -202,7 +202,7 @@
 		quarantine.start();
 		sessions.start();
 		timers.repeat(ANNOUNCE_MS, () => {
-			sessions.pushSoon();
+			sessions.schedulePush();
 		});
 		return sessions;
 	}
@@ -222,7 +222,7 @@
 			getLeaderAgeMs: () => this.time.now - gateway.leaderHeardAt,
 			isPortRefused: async address => this.time.now < (this.#restartedAt.get(address) ?? 0),
 			onCrash: ignore,
-			onCrashNews() {
+			onCrashReportDue() {
 				timers.after(COALESCE_MS, () => {
 					gateway.send(false);
 				});
@@ -235,15 +235,15 @@
 		let connectedAt = this.time.now;
 		const handleUpdate = (update: SessionUpdate): void => {
 			if (update.quarantine) {
-				guard.exchange.take(update.quarantine, update.isCurrent);
+				guard.exchange.applyQuarantine(update.quarantine, update.isCurrent);
 			}
 
 			if (update.isCurrent) {
 				gateway.leaderHeardAt = this.time.now;
 				gatewayCount = Math.max(gatewayCount, update.gatewayCount);
-				guard.exchange.noteHeard(update.sentAt, update.isCrashLeaseGranted);
-				guard.exchange.noteKnown(update.crashesKnownUntil);
-				guard.exchange.noteObeyed(update.crashesObeyedUntil);
+				guard.exchange.noteReported(update.sentAt, update.isCrashLeaseGranted);
+				guard.exchange.noteReachableGatewaysApplied(update.crashesKnownUntil);
+				guard.exchange.noteAllGatewaysApplied(update.crashesObeyedUntil);
 				if (update.isReportWanted) {
 					gateway.send(false);
 				}
@@ -314,7 +314,7 @@
 			});
 			toVoter.send(() => {
 				if (isOpen()) {
-					this.#sessions[this.voters.voters.findIndex(({process}) => process === target)].take(stream as never, report);
+					this.#sessions[this.voters.voters.findIndex(({process}) => process === target)].handleReport(stream as never, report);
 				} else if (!gateway.isPartitioned) {
 					for (const end of endListeners) {
 						end();
--- a/apps/valelead-daemon/tests/directory-updates.steps.ts
+++ b/apps/valelead-daemon/tests/directory-updates.steps.ts
@@ -59,7 +59,7 @@
 };
 
 const report = ({sessions}: UpdatesWorld, follower: FakeFollower): void => {
-	sessions.take(follower as never, create(FollowerReportSchema, {
+	sessions.handleReport(follower as never, create(FollowerReportSchema, {
 		vm: follower.vm, role: 'gateway', directoryEpoch: follower.copy.epoch, directoryVersion: follower.copy.version,
 	}));
 };
@@ -121,14 +121,14 @@
 		logger: pino({level: 'silent'}),
 		announceMs: 60_000,
 		onChange() {
-			world.sessions.pushSoon();
+			world.sessions.schedulePush();
 		},
-		onHoldings(upstream) {
-			world.sessions.tellHolder(upstream);
+		onEngineModels(upstream) {
+			world.sessions.sendToLeaseHolder(upstream);
 		},
 	});
 	const leases = {
-		note: () => undefined, getGrants: () => [], getSidecarDelayMs: () => 0, getHolder: (address: string) => world.leaseHolders.get(address),
+		note: () => undefined, getGrants: () => [], getSidecarDelayMs: () => 0, getLeaseHolder: (address: string) => world.leaseHolders.get(address),
 	};
 	world.sessions = new FollowerSessions({
 		voter: voter as never, registry: world.registry, leases: leases as never, quarantine: NO_QUARANTINE, quotas: NO_QUOTAS, limits: NO_LIMITS, gatewayLeases: NO_GATEWAY_LEASES,
--- a/apps/valelead-daemon/tests/engine-fleet.steps.ts
+++ b/apps/valelead-daemon/tests/engine-fleet.steps.ts
@@ -41,5 +41,5 @@
 
 	fleet.refresh(TABLE as never, this.gateways, () => this.own);
 	const [endpoint] = [...fleet.endpoints.values()].flat();
-	assert.equal(endpoint.places, limit);
+	assert.equal(endpoint.concurrencyLimit, limit);
 });
--- a/apps/valelead-daemon/tests/engine-knowledge.steps.ts
+++ b/apps/valelead-daemon/tests/engine-knowledge.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {newUpstream} from '../../../tests/support/new-upstream.js';
-import {type EngineView, EngineKnowledge} from 'valelead-daemon';
+import {type EngineView, EngineDiscovery} from 'valelead-daemon';
 
 /** A change of the set of known engines at a time. */
 type Change = {
@@ -79,7 +79,7 @@
 
 /** Replays the changes in small steps up to a time, as a gateway is notified of them; returns true if the engines are known well enough then. */
 const isSettledAt = ({changes}: KnowledgeWorld, endsAt: number): boolean => {
-	const knowledge = new EngineKnowledge();
+	const knowledge = new EngineDiscovery();
 	const engines = new Map<string, EngineView>();
 	const due = [...changes];
 	for (let now = due[0].at; now <= endsAt; now += STEP_MS) {
--- a/apps/valelead-daemon/tests/first-shares.steps.ts
+++ b/apps/valelead-daemon/tests/first-shares.steps.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {FirstShares} from 'valelead-daemon';
+import {InitialRetryShares} from 'valelead-daemon';
 
 type SharesWorld = {
-	shares: FirstShares;
+	shares: InitialRetryShares;
 	now: number;
 	term: number;
 	firstRoutingTerm: number | undefined;
@@ -20,48 +20,48 @@
 	this.term = TERM;
 	this.firstRoutingTerm = undefined;
 	this.vms = getNames(count);
-	this.shares = new FirstShares({
+	this.shares = new InitialRetryShares({
 		clock: {now: () => this.now, wallNow: () => this.now},
 		getTerm: () => this.term,
 		getFirstRoutingTerm: () => this.firstRoutingTerm,
 		getGatewayCount: () => this.vms.length,
 	});
 	for (const vm of this.vms) {
-		this.shares.note({vm}, {routingVersion: 0});
+		this.shares.noteReport({vm}, {routingVersion: 0});
 	}
 });
 
 When('the first routing of the installation is proposed in its term', function (this: SharesWorld) {
 	this.firstRoutingTerm = TERM;
-	this.shares.noteState();
+	this.shares.refreshState();
 });
 
 When('the first routing of the installation is proposed in an earlier term', function (this: SharesWorld) {
 	this.firstRoutingTerm = TERM - 1;
-	this.shares.noteState();
+	this.shares.refreshState();
 });
 
 When('the first routing of the installation is proposed in its term, {int} ms ago', function (this: SharesWorld, ms: number) {
 	this.firstRoutingTerm = TERM;
-	this.shares.noteState();
+	this.shares.refreshState();
 	this.now += ms;
 });
 
 When('the first routing of the installation is proposed in its term, after a gateway had another routing', function (this: SharesWorld) {
-	this.shares.note({vm: 'gateway-9'}, {routingVersion: 7});
+	this.shares.noteReport({vm: 'gateway-9'}, {routingVersion: 7});
 	this.firstRoutingTerm = TERM;
-	this.shares.noteState();
+	this.shares.refreshState();
 });
 
 When('the first routing of the installation is proposed in its term, before it was elected once more', function (this: SharesWorld) {
 	this.firstRoutingTerm = TERM;
-	this.shares.noteState();
+	this.shares.refreshState();
 	this.term += 1;
 });
 
 When('the first gateway receives it and restarts', function (this: SharesWorld) {
-	this.shares.take({vm: this.vms[0]});
-	this.shares.note({vm: this.vms[0]}, {routingVersion: 0});
+	this.shares.claimShare({vm: this.vms[0]});
+	this.shares.noteReport({vm: this.vms[0]}, {routingVersion: 0});
 });
 
 When('{int} more gateways connect', function (this: SharesWorld, count: number) {
@@ -69,5 +69,5 @@
 });
 
 Then('the gateways receive the share counts {string}', function (this: SharesWorld, expected: string) {
-	assert.equal(this.vms.map(vm => this.shares.take({vm})).join(' '), expected);
+	assert.equal(this.vms.map(vm => this.shares.claimShare({vm})).join(' '), expected);
 });
--- a/apps/valelead-daemon/tests/follower.steps.ts
+++ b/apps/valelead-daemon/tests/follower.steps.ts
@@ -281,7 +281,7 @@
 });
 
 const report = (world: FollowerWorld, vm: string, routingVersion: number, crashes: UpstreamCrash[] = []): void => {
-	world.sessions.take(world.streams.get(vm) as never, create(FollowerReportSchema, {
+	world.sessions.handleReport(world.streams.get(vm) as never, create(FollowerReportSchema, {
 		vm, role: 'gateway', routingVersion, directoryEpoch: 'e', directoryVersion: 0, crashes, gatewayCount: world.gatewayCount,
 	}));
 };
@@ -343,7 +343,7 @@
 When('the voter becomes leader and sends its followers a newer routing', function (this: FollowerWorld) {
 	Object.assign(this.node, {isCurrentLeader: true, canRead: true, isInformed: true});
 	this.committed.version = NEW_VERSION;
-	this.sessions.pushSoon();
+	this.sessions.schedulePush();
 	this.time.advance(STEP_MS);
 });
 
@@ -448,7 +448,7 @@
 When('the versions {int} to {int} are committed {int} ms apart, and {string} confirms none', function (this: FollowerWorld, first: number, last: number, gapMs: number, _vm: string) {
 	for (let version = first; version <= last; version += 1) {
 		this.committed.version = version;
-		this.sessions.pushSoon();
+		this.sessions.schedulePush();
 		this.time.advance(gapMs);
 	}
 });
--- a/apps/valelead-daemon/tests/is-load-too-late.steps.ts
+++ b/apps/valelead-daemon/tests/is-load-too-late.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {
-	type Demand, type GatewayRequest, ExpectedReturns, isHopeless, newDemand,
+	type Demand, type GatewayRequest, ExpectedRetries, isLoadTooLate, newDemand,
 } from 'valelead-daemon';
 
 type LateLoadWorld = {
@@ -10,7 +10,7 @@
 	timeMs: number;
 	isGivenUp: boolean;
 	demand: Demand;
-	returns: ExpectedReturns;
+	returns: ExpectedRetries;
 };
 
 const ARRIVED_AT = 1000;
@@ -27,7 +27,7 @@
 	return newDemand(request as GatewayRequest);
 };
 
-const decide = (world: LateLoadWorld, timeMs: number, waitedMs: number, forecastMs: number): boolean => isHopeless(getDemand(world, timeMs), forecastMs, ARRIVED_AT + waitedMs);
+const decide = (world: LateLoadWorld, timeMs: number, waitedMs: number, forecastMs: number): boolean => isLoadTooLate(getDemand(world, timeMs), forecastMs, ARRIVED_AT + waitedMs);
 
 Given('a route with an objective of {int} ms whose callers leave after {int} ms, and a timeout of {int} ms', function (this: LateLoadWorld, objectiveMs: number, patienceMs: number, timeMs: number) {
 	this.objectiveMs = objectiveMs;
@@ -49,7 +49,7 @@
 
 When('a refused caller is given a Retry-After time of {int} ms', function (this: LateLoadWorld, returnMs: number) {
 	this.demand = getDemand(this, this.timeMs);
-	this.returns = new ExpectedReturns();
+	this.returns = new ExpectedRetries();
 	this.returns.add(this.demand, ARRIVED_AT + returnMs);
 });
 
--- a/apps/valelead-daemon/tests/limited-upstreams.steps.ts
+++ b/apps/valelead-daemon/tests/limited-upstreams.steps.ts
@@ -1,26 +1,26 @@
 import assert from 'node:assert/strict';
 import {create} from '@bufbuild/protobuf';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {type LimitBook, mutateNamedLimit} from '@valelead/quota';
+import {type LimitTable, mutateAnnouncedLimit} from '@valelead/quota';
 import {
 	QuotaGrantSchema, QuotaLoanSchema, UpstreamLimitSchema, UpstreamLimitsSchema,
 } from '@valelead/protocol';
 import {pino} from 'pino';
 import {VirtualTime} from '../../../tests/support/virtual-time.js';
 import {newVirtualTimers} from '../../../tests/support/new-virtual-timers.js';
-import {UpstreamLimits} from 'valelead-daemon';
+import {UpstreamRateLimiter} from 'valelead-daemon';
 
 type LimitsWorld = {
 	time: VirtualTime;
 	suspensions: {resumedAt: number; lostMs: number};
-	limits: UpstreamLimits;
+	limits: UpstreamRateLimiter;
 	/** Number of times that a report to the leader was due immediately. */
 	needs: number;
 	reportedAt: number;
-	told: ReturnType<UpstreamLimits['getReport']>['sightings'];
+	told: ReturnType<UpstreamRateLimiter['getReport']>['sightings'];
 	/** When the leader sent the limit, in milliseconds of the virtual time. */
 	namedAt: number;
-	book: LimitBook;
+	book: LimitTable;
 };
 
 const FIRST_TERM = 1;
@@ -30,7 +30,7 @@
 	const limits = create(UpstreamLimitsSchema, {
 		term, limits: entries.map(([upstreamId, perSecond]) => create(UpstreamLimitSchema, {upstreamId, perSecond})),
 	});
-	world.limits.take({limits, grant: undefined, reportedAt});
+	world.limits.handleUpdate({limits, grant: undefined, reportedAt});
 };
 
 const report = (world: LimitsWorld): void => {
@@ -42,7 +42,7 @@
 	this.time = new VirtualTime();
 	this.suspensions = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 	this.needs = 0;
-	this.limits = new UpstreamLimits({
+	this.limits = new UpstreamRateLimiter({
 		clock: {now: () => this.time.now, wallNow: () => this.time.now},
 		suspensions: this.suspensions,
 		timers: newVirtualTimers(this.time),
@@ -101,7 +101,7 @@
 
 const lend = (world: LimitsWorld, loan: {readonly subject: string; readonly amount: number; readonly waitMs: number}): void => {
 	const grant = create(QuotaGrantSchema, {term: FIRST_TERM, loans: [create(QuotaLoanSchema, loan)]});
-	world.limits.take({limits: undefined, grant, reportedAt: world.reportedAt});
+	world.limits.handleUpdate({limits: undefined, grant, reportedAt: world.reportedAt});
 };
 
 When('the leader answers with the limit and a loan of {int} for {string}', function (this: LimitsWorld, amount: number, subject: string) {
@@ -180,11 +180,11 @@
 
 Given('the leader knows a limit of {int} that was named last at {int} ms', function (this: LimitsWorld, perSecond: number, namedAt: number) {
 	this.book = new Map();
-	mutateNamedLimit(this.book, {upstreamId: 'u', perSecond, at: namedAt});
+	mutateAnnouncedLimit(this.book, {upstreamId: 'u', perSecond, at: namedAt});
 });
 
 When('a gateway tells that at {int} ms {word} was named', function (this: LimitsWorld, at: number, seen: string) {
-	mutateNamedLimit(this.book, {upstreamId: 'u', perSecond: seen === 'none' ? undefined : Number(seen), at});
+	mutateAnnouncedLimit(this.book, {upstreamId: 'u', perSecond: seen === 'none' ? undefined : Number(seen), at});
 });
 
 Then('the leader holds to {word}', function (this: LimitsWorld, limit: string) {
--- a/apps/valelead-daemon/tests/load-planner.steps.ts
+++ b/apps/valelead-daemon/tests/load-planner.steps.ts
@@ -2,7 +2,7 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {newUpstream} from '../../../tests/support/new-upstream.js';
 import {
-	type Demand, type EngineView, type GatewayRequest, type SiteChange, LoadPlanner, newDemand,
+	type Demand, type EngineView, type GatewayRequest, type PlacementChange, LoadPlanner, newDemand,
 } from 'valelead-daemon';
 
 type PlannerWorld = {
@@ -14,7 +14,7 @@
 	inProgress: GatewayRequest[];
 	/** Ids of the engines that were chosen to load the model, in chronological order. */
 	chosenIds: string[];
-	changes: SiteChange[];
+	changes: PlacementChange[];
 };
 
 const SERVICE = 'llm';
@@ -70,8 +70,8 @@
 		getTable: () => table as never,
 		getViews: () => this.views,
 		isUsable: () => true,
-		onStoreLimit: () => undefined,
-		onSiteChange: change => {
+		onStoreLimitChange: () => undefined,
+		onPlacementChange: change => {
 			this.changes.push(change);
 		},
 	});
--- a/apps/valelead-daemon/tests/order-leases.steps.ts
+++ b/apps/valelead-daemon/tests/order-leases.steps.ts
@@ -40,7 +40,7 @@
 const report = (world: LeasesWorld, attendedEngines: string[] = []): void => {
 	for (const [vm, stream] of world.streams) {
 		const leases = world.leases.getGrants(vm).map(lease => create(HeldLeaseSchema, lease));
-		world.sessions.take(stream as never, create(FollowerReportSchema, {
+		world.sessions.handleReport(stream as never, create(FollowerReportSchema, {
 			vm, role: 'gateway', directoryEpoch: 'e', keeperAddress: vm, isStopping: vm === world.stopping, attendedEngines, leases,
 		}));
 	}
--- a/apps/valelead-daemon/tests/quarantine.steps.ts
+++ b/apps/valelead-daemon/tests/quarantine.steps.ts
@@ -11,7 +11,7 @@
 import {newUpstream} from '../../../tests/support/new-upstream.js';
 import {newVirtualTimers} from '../../../tests/support/new-virtual-timers.js';
 import {
-	type FollowerSession, type GatewayRequest, CONNECTION_END, CrashGuard, GatewayLeases, HeldLosses, QuarantineRegistry, QuarantineRollout, RequestQuarantine, encodeCrash,
+	type FollowerSession, type GatewayRequest, CONNECTION_STATE, CrashGuard, GatewayLeases, DeferredFailures, QuarantineRegistry, QuarantineRollout, RequestQuarantine, encodeCrash,
 } from 'valelead-daemon';
 
 type RegistryParts = ConstructorParameters<typeof QuarantineRegistry>[0];
@@ -24,7 +24,7 @@
 	registry: QuarantineRegistry;
 	rollout: QuarantineRollout;
 	sessions: Map<string, FollowerSession>;
-	losses: HeldLosses;
+	losses: DeferredFailures;
 	isReported: boolean;
 	guard: CrashGuard;
 	isLast: boolean | undefined;
@@ -62,7 +62,7 @@
 		logger: pino({level: 'silent'}),
 		getLeaderAgeMs: () => world.time.now - world.leaderHeardAt,
 		onQuarantined: () => undefined,
-		onCrashNews: () => undefined,
+		onCrashReportDue: () => undefined,
 		onCrashesKnown: () => undefined,
 		onCrashesObeyed: () => undefined,
 		suspensions: NO_SUSPENSION,
@@ -102,7 +102,7 @@
 		clock: newClock(world.time),
 		timers: newVirtualTimers(world.time),
 		logger: pino({level: 'silent'}),
-		getPausedCrashes: () => undefined,
+		getPauseThreshold: () => undefined,
 		onChange: () => undefined,
 	});
 	world.registry.start();
@@ -147,8 +147,8 @@
 
 const receiveList = (world: QuarantineWorld, suspected: readonly string[]): void => {
 	world.leaderHeardAt = world.time.now;
-	world.gateway.take(create(QuarantineListSchema, {suspected: suspected.map(name => toBytes(name))}), true);
-	world.gateway.noteHeard(world.time.now, true);
+	world.gateway.applyQuarantine(create(QuarantineListSchema, {suspected: suspected.map(name => toBytes(name))}), true);
+	world.gateway.noteReported(world.time.now, true);
 };
 
 When('the gateway sees {int} crashes under {string}, and its leader knows of them', function (this: QuarantineWorld, count: number, name: string) {
@@ -169,7 +169,7 @@
 });
 
 When('a voter that is not the leader sends its list', function (this: QuarantineWorld) {
-	this.gateway.take(create(QuarantineListSchema, {}), false);
+	this.gateway.applyQuarantine(create(QuarantineListSchema, {}), false);
 });
 
 When('the gateway has no contact with the leader for {int} seconds', function (this: QuarantineWorld, seconds: number) {
@@ -185,8 +185,8 @@
 });
 
 When('a leader without the reports of all gateways sends its list', function (this: QuarantineWorld) {
-	this.gateway.take(create(QuarantineListSchema, {}), true);
-	this.gateway.noteHeard(this.time.now, false);
+	this.gateway.applyQuarantine(create(QuarantineListSchema, {}), true);
+	this.gateway.noteReported(this.time.now, false);
 });
 
 Then('the gateway sends {string}', function (this: QuarantineWorld, name: string) {
@@ -279,7 +279,7 @@
 	} as unknown as FollowerSession]));
 	const leases = new GatewayLeases({clock: newClock(this.time), getTerm: () => 1});
 	for (const session of this.sessions.values()) {
-		leases.note(session);
+		leases.noteReport(session);
 	}
 
 	this.rollout = new QuarantineRollout({
@@ -288,8 +288,8 @@
 		isLeading: () => this.isLeading,
 		getVersion: () => this.registry.version,
 		getGateways: () => [...this.sessions.values()],
-		isUnaware: version => leases.isUnaware(version),
-		onKnown: () => undefined,
+		hasStaleGateway: version => leases.hasStaleGateway(version),
+		onProgress: () => undefined,
 	});
 	this.isLeading = true;
 });
@@ -298,7 +298,7 @@
 	const crashes = splitNames(runs).map(runId => encodeCrash({runId, suspects: [{fingerprint: toFingerprint(name), phase: SUSPECT_PHASE.Begun}]}));
 	const report = create(FollowerReportSchema, {vm, sentAt: this.time.now, crashes});
 	this.registry.note(report);
-	this.rollout.note(this.sessions.get(vm)!, report);
+	this.rollout.noteReport(this.sessions.get(vm)!, report);
 });
 
 When('gateways {string} confirm the list', function (this: QuarantineWorld, names: string) {
@@ -308,7 +308,7 @@
 		session.quarantineConfirmed = this.registry.version;
 	}
 
-	this.rollout.settle();
+	this.rollout.checkPending();
 });
 
 When('the leader is deposed', function (this: QuarantineWorld) {
@@ -332,19 +332,19 @@
 });
 
 Then('gateway "one" is told that no gateway is unaware of the crashes', function (this: QuarantineWorld) {
-	this.rollout.settle();
+	this.rollout.checkPending();
 	assert.ok(this.sessions.get('one')!.crashesObeyedUntil > 0);
 });
 
 const deferFailure = (world: QuarantineWorld, isCrashed: boolean): void => {
 	world.time = new VirtualTime();
 	world.isReported = false;
-	world.losses = new HeldLosses(newVirtualTimers(world.time), newClock(world.time));
-	world.losses.hold({runId: 'a', isCrashed, mostMs: 500}, () => {
+	world.losses = new DeferredFailures(newVirtualTimers(world.time), newClock(world.time));
+	world.losses.defer({runId: 'a', isCrashed, maxDeferMs: 500}, () => {
 		world.isReported = true;
 	});
 	world.time.advance(50);
-	world.losses.noteKnown(isCrashed ? -1 : world.time.now);
+	world.losses.releaseKnown(isCrashed ? -1 : world.time.now);
 	assert.equal(world.isReported, false, 'the failure is held at first');
 };
 
@@ -354,7 +354,7 @@
 
 Given('a failed attempt at run "a", which is found crashed later', function (this: QuarantineWorld) {
 	deferFailure(this, false);
-	this.losses.noteCrash('a');
+	this.losses.markCrashed('a');
 });
 
 Given('a failed attempt at run "a", which is found alive later', function (this: QuarantineWorld) {
@@ -362,11 +362,11 @@
 });
 
 When('all gateways know of the crash', function (this: QuarantineWorld) {
-	this.losses.noteKnown(this.time.now);
+	this.losses.releaseKnown(this.time.now);
 });
 
 When('its port is found open', function (this: QuarantineWorld) {
-	this.losses.noteAlive('a');
+	this.losses.releaseAlive('a');
 });
 
 When('500 ms pass without an event', function (this: QuarantineWorld) {
@@ -389,10 +389,10 @@
 		getGatewayCount: () => 1,
 		isPortRefused: async () => isPortRefused,
 		onCrash: () => undefined,
-		onCrashNews: () => undefined,
+		onCrashReportDue: () => undefined,
 		onQuarantined: () => undefined,
 	});
-	world.guard.exchange.noteHeard(world.time.now, true);
+	world.guard.exchange.noteReported(world.time.now, true);
 };
 
 Given('a gateway whose upstreams crash under requests', function (this: QuarantineWorld) {
@@ -411,7 +411,7 @@
 	const request = {head: {id: 'try'}, fingerprint: toFingerprint('some')} as unknown as GatewayRequest;
 	const upstream = newUpstream('a', {address: '10.0.0.1:80'});
 	this.guard.noteEnd(request, upstream, {
-		code: RESULT_CODE.UpstreamFailed, outcome: OUTCOME.Unknown, reason: 'reset', connection: CONNECTION_END.Broken, phase: PHASES[phase],
+		code: RESULT_CODE.UpstreamFailed, outcome: OUTCOME.Unknown, reason: 'reset', connection: CONNECTION_STATE.Broken, phase: PHASES[phase],
 	}, isLast => {
 		this.isLast = isLast;
 	});
--- a/apps/valelead-daemon/tests/retry-model.ts
+++ b/apps/valelead-daemon/tests/retry-model.ts
@@ -4,7 +4,7 @@
 } from '@valelead/admission';
 import {newPlainArrival} from '../../../tests/support/new-plain-arrival.js';
 import {
-	FirstShares, GatewayCensus, GatewayCount, newGatewayAdmission,
+	InitialRetryShares, GatewayRegistry, GatewayCount, newGatewayAdmission,
 } from 'valelead-daemon';
 
 /** An update of the leader to a gateway. */
@@ -59,7 +59,7 @@
 const TARGET = 'service/s';
 
 /** There are enough upstreams for a request to always find one that it has not tried. */
-const UPSTREAMS = Array.from({length: 12}, (_, index) => ({vm: `u${index}`, dataCentre: 'd', places: 1000}));
+const UPSTREAMS = Array.from({length: 12}, (_, index) => ({vm: `u${index}`, dataCentre: 'd', concurrencyLimit: 1000}));
 const NO_SUSPENSIONS = {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0};
 
 /** A model of gateways that send requests, some of which fail, to one service. It uses the real retry budget and the real counting of gateways. */
@@ -69,13 +69,13 @@
 	#nextId = 1;
 	readonly #clock = {now: () => this.#now, wallNow: () => this.#now};
 	readonly #gateways: Array<ModelGateway | undefined>;
-	#census = new GatewayCensus(this.#clock);
+	#census = new GatewayRegistry(this.#clock);
 	readonly #options: ModelOptions;
 	#hasRouting: boolean;
 	#hasLeader = true;
 	#term = 1;
 	#firstRoutingTerm: number | undefined;
-	#firstShares: FirstShares;
+	#firstShares: InitialRetryShares;
 	#sessions = new Map<ModelGateway, ModelSession>();
 
 	constructor(gateways: number, {hasRouting = true, isFirstShared = true}: Partial<ModelOptions> = {}) {
@@ -94,7 +94,7 @@
 		for (let passedMs = 0; passedMs < ms; passedMs += TICK_MS) {
 			this.#now += TICK_MS;
 			this.ticks.push({requests: 0, repeats: 0});
-			this.#census.forgetSilent();
+			this.#census.removeSilent();
 			for (const [index, gateway] of this.#gateways.entries()) {
 				if (gateway) {
 					this.#exchange(gateway);
@@ -124,7 +124,7 @@
 	lead(): void {
 		this.#hasLeader = true;
 		this.#term += 1;
-		this.#census = new GatewayCensus(this.#clock);
+		this.#census = new GatewayRegistry(this.#clock);
 		this.#firstShares = this.#newFirstShares();
 		this.#sessions = new Map();
 	}
@@ -140,7 +140,7 @@
 		if (!this.#hasRouting && this.#hasLeader) {
 			this.#hasRouting = true;
 			this.#firstRoutingTerm = this.#term;
-			this.#firstShares.noteState();
+			this.#firstShares.refreshState();
 		}
 	}
 
@@ -211,8 +211,8 @@
 		return sum;
 	}
 
-	#newFirstShares(): FirstShares {
-		return new FirstShares({
+	#newFirstShares(): InitialRetryShares {
+		return new InitialRetryShares({
 			clock: this.#clock, getTerm: () => this.#term, getFirstRoutingTerm: () => this.#firstRoutingTerm, getGatewayCount: () => this.#census.count,
 		});
 	}
@@ -246,8 +246,8 @@
 
 	#report(gateway: ModelGateway): void {
 		if (!gateway.isMute && !gateway.isPaused) {
-			this.#census.note(gateway.vm);
-			this.#firstShares.note(gateway, {routingVersion: gateway.hasRouting ? 1 : 0});
+			this.#census.noteReport(gateway.vm);
+			this.#firstShares.noteReport(gateway, {routingVersion: gateway.hasRouting ? 1 : 0});
 			const known = this.#sessions.get(gateway);
 			this.#sessions.set(gateway, {askedAt: this.#now, hasRouting: known?.hasRouting ?? gateway.hasRouting});
 		}
@@ -261,7 +261,7 @@
 	#newUpdate({vm}: ModelGateway, session: ModelSession): Update {
 		const hasRouting = this.#hasRouting && !session.hasRouting;
 		session.hasRouting ||= hasRouting;
-		const unspentShares = hasRouting && this.#options.isFirstShared ? this.#firstShares.take({vm}) : 0;
+		const unspentShares = hasRouting && this.#options.isFirstShared ? this.#firstShares.claimShare({vm}) : 0;
 		return {
 			count: this.#census.count, askedAt: session.askedAt, hasRouting, unspentShares,
 		};
@@ -271,7 +271,7 @@
 		for (const {count, askedAt, hasRouting, unspentShares} of gateway.updates.splice(0)) {
 			const hadRouting = gateway.hasRouting;
 			gateway.hasRouting ||= hasRouting;
-			gateway.count.take({
+			gateway.count.handleUpdate({
 				count, askedAt, isServing: gateway.hasRouting, unspentShares: hadRouting ? 0 : unspentShares,
 			});
 		}
@@ -281,7 +281,7 @@
 		this.#nextId += 1;
 		this.ticks.at(-1)!.requests += 1;
 		this.#take(gateway, newPlainArrival({
-			requestId: String(this.#nextId), target: TARGET, arrivedAt: this.#now, deadlineAt: this.#now + 1000, budget: 's',
+			requestId: String(this.#nextId), target: TARGET, arrivedAt: this.#now, deadlineAt: this.#now + 1000, retryBudget: 's',
 		}), isFailing);
 	}
 
--- a/apps/valelead-daemon/tests/suspension.steps.ts
+++ b/apps/valelead-daemon/tests/suspension.steps.ts
@@ -101,7 +101,7 @@
 
 Given('its routing was just confirmed, and revoked keys must not be accepted after {int} ms', function (this: SuspensionWorld, revokeMs: number) {
 	this.confirmation = newConfirmation(this, revokeMs);
-	this.confirmation.take(this.clocks.now);
+	this.confirmation.confirm(this.clocks.now);
 });
 
 Given('it asks for a confirmation of its routing, and revoked keys must not be accepted after {int} ms', function (this: SuspensionWorld, revokeMs: number) {
@@ -110,7 +110,7 @@
 });
 
 When('the confirmation of its routing arrives', function (this: SuspensionWorld) {
-	this.confirmation.take(this.askedAt);
+	this.confirmation.confirm(this.askedAt);
 });
 
 Then('its routing is fresh', function (this: SuspensionWorld) {
--- a/apps/valelead-daemon/tests/upstream-attempt.steps.ts
+++ b/apps/valelead-daemon/tests/upstream-attempt.steps.ts
@@ -11,7 +11,7 @@
 import {sendAttempt} from './send-attempt.js';
 import {SilentUpstream} from './silent-upstream.js';
 import {
-	type GatewayRequest, AnswerPipe, UpstreamAgent, getForwardedHeaders, newGatewayAdmission,
+	type GatewayRequest, ResponseForwarder, UpstreamAgent, getForwardedHeaders, newGatewayAdmission,
 } from 'valelead-daemon';
 
 type AttemptWorld = {
@@ -202,7 +202,7 @@
 	const splitter = new EventSplitter();
 	this.passed = [];
 	for (const piece of unescape(pieces).split('|')) {
-		const {bytes, lastEventId} = splitter.take(Buffer.from(piece));
+		const {bytes, lastEventId} = splitter.addChunk(Buffer.from(piece));
 		this.lastEventId = lastEventId ?? this.lastEventId;
 		if (bytes.length > 0) {
 			this.passed.push(bytes.toString());
@@ -214,7 +214,7 @@
 	this.passed = [];
 	const request = newStreamRequest(this.passed);
 	for (const text of [first, second]) {
-		const pipe = new AnswerPipe(request, {statusCode: 200, headers: {}, rawHeaders: []});
+		const pipe = new ResponseForwarder(request, {statusCode: 200, headers: {}, rawHeaders: []});
 		for (const byte of Buffer.from(unescape(text))) {
 			pipe.data(Buffer.from([byte]));
 		}
@@ -246,5 +246,5 @@
 
 Then('together they start with less than {int} retries and earn less than {float} for a request', function (this: AttemptWorld, reserve: number, ratio: number) {
 	assert.ok(this.admissions.reduce((sum, admission) => sum + (admission.initialRetryTokens ?? 0), 0) < reserve);
-	assert.ok(this.admissions.every(admission => admission.retryShare < ratio));
+	assert.ok(this.admissions.every(admission => admission.retryTokensPerRequest < ratio));
 });
--- a/apps/valelead-lab/src/lab-attempt.ts
+++ b/apps/valelead-lab/src/lab-attempt.ts
@@ -3,12 +3,12 @@
 import type {EngineRun, RunTerms, VirtualClock} from '@valelead/emulator';
 import {SUSPECT_PHASE, type SuspectPhaseValue} from '@valelead/quarantine';
 import {
-	type AttemptTerms, type SentAttempt, CONNECTION_END, newAttemptEnd,
+	type AttemptOptions, type SentAttempt, CONNECTION_STATE, newAttemptFailure,
 } from 'valelead-daemon';
 import type {LabEngine} from './lab-engine.js';
 
 type LabAttemptParts = {
-	readonly terms: AttemptTerms;
+	readonly terms: AttemptOptions;
 	readonly engine: LabEngine | undefined;
 	readonly clock: VirtualClock;
 	readonly linkMs: number;
@@ -79,7 +79,7 @@
 		if (!this.#isOver) {
 			this.cancel();
 			const [endCode, outcome] = this.#isSent ? [code, OUTCOME.Unknown] : [RESULT_CODE.UpstreamUnreachable, OUTCOME.NotRun];
-			this.#parts.terms.events.onFailure(newAttemptEnd(endCode, outcome, reason));
+			this.#parts.terms.events.onFailure(newAttemptFailure(endCode, outcome, reason));
 		}
 	}
 
@@ -114,7 +114,7 @@
 			onReject: isMissing => {
 				this.#tell(() => {
 					this.#isOver = true;
-					events.onFailure(newAttemptEnd(isMissing ? RESULT_CODE.UpstreamLeaving : RESULT_CODE.UpstreamRejected, OUTCOME.NotRun, 'rejected'));
+					events.onFailure(newAttemptFailure(isMissing ? RESULT_CODE.UpstreamLeaving : RESULT_CODE.UpstreamRejected, OUTCOME.NotRun, 'rejected'));
 				});
 			},
 		};
@@ -133,12 +133,12 @@
 		const {events} = this.#parts.terms;
 		this.#isOver = true;
 		if (!this.#isSent) {
-			events.onFailure({...newAttemptEnd(RESULT_CODE.UpstreamUnreachable, OUTCOME.NotRun, 'refused'), connection: CONNECTION_END.Refused});
+			events.onFailure({...newAttemptFailure(RESULT_CODE.UpstreamUnreachable, OUTCOME.NotRun, 'refused'), connection: CONNECTION_STATE.Refused});
 			return;
 		}
 
 		const code = this.#isAnswered ? RESULT_CODE.AnswerCut : RESULT_CODE.UpstreamFailed;
-		events.onFailure({...newAttemptEnd(code, OUTCOME.Unknown, 'broken'), connection: CONNECTION_END.Broken, phase: this.#phase});
+		events.onFailure({...newAttemptFailure(code, OUTCOME.Unknown, 'broken'), connection: CONNECTION_STATE.Broken, phase: this.#phase});
 	}
 
 	#takeHead(): void {
--- a/apps/valelead-lab/src/lab-caller.ts
+++ b/apps/valelead-lab/src/lab-caller.ts
@@ -4,7 +4,7 @@
 import type {VirtualClock} from '@valelead/emulator';
 import type {Route} from '@valelead/routing';
 import {
-	type Answer, type GatewayRequest, type Refusal, getTarget, newGatewayRequest,
+	type ResponseWriter, type GatewayRequest, type Refusal, getTarget, newGatewayRequest,
 } from 'valelead-daemon';
 import {CALL_OUTCOME} from './call-outcome.js';
 import type {CallResult} from './call-result.js';
@@ -134,11 +134,11 @@
 		});
 	}
 
-	#newAnswer(): Answer {
+	#newAnswer(): ResponseWriter {
 		let isStarted = false;
 		let isEnded = false;
 		return {
-			isCallerGone: false,
+			isCallerDisconnected: false,
 			get isStarted() {
 				return isStarted;
 			},
--- a/apps/valelead-lab/src/lab-gateway.ts
+++ b/apps/valelead-lab/src/lab-gateway.ts
@@ -85,14 +85,14 @@
 			getLeaderAgeMs: () => 0,
 			isPortRefused: async address => getEngine(getHost(address))?.engine.isBroken ?? false,
 			onCrash: () => undefined,
-			onCrashNews: () => {
+			onCrashReportDue: () => {
 				parts.onCrashNews(this);
 			},
-			onLimitNews: () => {
+			onLimitReportDue: () => {
 				parts.onLimitNews(this);
 			},
 			onRetry: () => undefined,
-			onCut: () => undefined,
+			onAborted: () => undefined,
 			onCancelled: () => undefined,
 			// Nothing is suspended here.
 			suspensions: {resumedAt: Number.NEGATIVE_INFINITY, lostMs: 0},
--- a/apps/valelead-lab/src/lab-limits.ts
+++ b/apps/valelead-lab/src/lab-limits.ts
@@ -75,7 +75,7 @@
 		const limits = isBehind ? this.#registry.getList() : undefined;
 		this.#told.set(gateway, this.#registry.version);
 		clock.after(linkMs, () => {
-			gateway.limitExchange.take({limits, grant, reportedAt});
+			gateway.limitExchange.handleUpdate({limits, grant, reportedAt});
 		});
 	}
 }
--- a/apps/valelead-lab/src/lab-quarantine.ts
+++ b/apps/valelead-lab/src/lab-quarantine.ts
@@ -42,7 +42,7 @@
 				},
 				propose: async proposal => this.#commit(proposal),
 			},
-			getPausedCrashes: () => undefined,
+			getPauseThreshold: () => undefined,
 			onChange: () => {
 				this.#push();
 			},
@@ -50,7 +50,7 @@
 		this.#registry.start();
 		parts.timers.repeat(HEARTBEAT_MS, now => {
 			for (const gateway of parts.getGateways()) {
-				gateway.crashExchange.noteHeard(now, true);
+				gateway.crashExchange.noteReported(now, true);
 			}
 		});
 	}
@@ -73,8 +73,8 @@
 		});
 		// There and back, and once more for the other gateways' confirmation.
 		clock.after(4 * linkMs, () => {
-			gateway.crashExchange.noteKnown(reportedAt);
-			gateway.crashExchange.noteObeyed(reportedAt);
+			gateway.crashExchange.noteReachableGatewaysApplied(reportedAt);
+			gateway.crashExchange.noteAllGatewaysApplied(reportedAt);
 		});
 	}
 
@@ -82,7 +82,7 @@
 		const {clock, linkMs, getGateways} = this.#parts;
 		clock.after(linkMs, () => {
 			for (const gateway of getGateways()) {
-				gateway.crashExchange.take(this.#registry.getList(), true);
+				gateway.crashExchange.applyQuarantine(this.#registry.getList(), true);
 			}
 		});
 	}
--- a/bench/policy/new-simple-policy.ts
+++ b/bench/policy/new-simple-policy.ts
@@ -94,7 +94,7 @@
 	}
 
 	#place(view: PlacementView, unit: PlacementUnit, decisions: PlacementDecision[], now: number): void {
-		const open = view.vms.filter(vm => vm.isOpen);
+		const open = view.vms.filter(vm => vm.isSchedulable);
 		const free = open.find(vm => getHeldBytes(vm) + unit.memoryBytes <= vm.memoryBytes);
 		if (free) {
 			decisions.push({kind: 'grant', unit: unit.key, vm: free.name});
--- a/bench/policy/replay-trace.ts
+++ b/bench/policy/replay-trace.ts
@@ -268,7 +268,7 @@
 			vms: this.#vms.map(vm => ({
 				name: vm.name,
 				memoryBytes: this.#deployment.memoryGib * GIB,
-				isOpen: now >= vm.awayUntil,
+				isSchedulable: now >= vm.awayUntil,
 				isDrained: false,
 				inProgress: vm.inProgress,
 				capacity: this.#deployment.capacity,
--- a/bench/quota/lent-sharing.ts
+++ b/bench/quota/lent-sharing.ts
@@ -1,6 +1,6 @@
 import {
 	type Quota, type QuotaLedger, type QuotaStock, type QuotaTolerance,
-	LOAN_MS, getScarceSubjects, mutateBorrowed, mutateConfirmedLoans, mutateDemand, mutateLoan, mutateLostLoans, mutateQuotas, mutateReserved, mutateSession, mutateSettled, mutateSubjectReport,
+	LOAN_MS, getScarceSubjects, mutateGrantedLoans, mutateConfirmedLoans, mutateDemand, mutateLoan, mutateExpiredLoans, mutateQuotas, mutateReservedUnits, mutateNewSession, mutateSettledReservation, mutateSubjectReport,
 	mutateUsage, newQuotaLedger, newQuotaStock,
 } from '@valelead/quota';
 import type {Sharing} from './sharing.js';
@@ -53,15 +53,15 @@
 			this.#term += 1;
 			this.#ledger = this.#newLedger(now);
 			for (const stock of this.#stocks) {
-				mutateSession(stock);
+				mutateNewSession(stock);
 			}
 		}
 	}
 
 	#take(stock: QuotaStock, cost: number, now: number): boolean {
-		const reservation = mutateReserved(stock, TEAM, cost, now);
+		const reservation = mutateReservedUnits(stock, TEAM, cost, now);
 		if (reservation) {
-			mutateSettled(reservation, true);
+			mutateSettledReservation(reservation, true);
 		}
 
 		return reservation !== undefined;
@@ -77,7 +77,7 @@
 		const stock = this.#stocks[gateway];
 		const id = `${gateway}.${this.#term}`;
 		const usage = mutateSubjectReport(stock, TEAM, needs, now);
-		mutateLostLoans(this.#ledger, now);
+		mutateExpiredLoans(this.#ledger, now);
 		const told = usage && {...usage, wanted: this.#hasStock ? usage.wanted : 0};
 		if (told) {
 			mutateUsage(this.#ledger, id, told, now);
@@ -85,7 +85,7 @@
 
 		const loan = told && mutateLoan(this.#ledger, id, told, now);
 		mutateConfirmedLoans(this.#ledger, id, now);
-		mutateBorrowed(stock, {
+		mutateGrantedLoans(stock, {
 			term: this.#term, loans: loan ? [loan] : [], validUntil: now + LOAN_MS, scarceSubjects: getScarceSubjects(this.#ledger, now),
 		}, now);
 	}
--- a/packages/admission/src/admission-endpoint.ts
+++ b/packages/admission/src/admission-endpoint.ts
@@ -6,7 +6,7 @@
 	 * The maximum number of requests that this entry may have in progress at the VM, if it reaches the upstream directly.
 	 * Undefined if an agent on the VM limits requests by granting credits.
 	 */
-	readonly places?: number;
+	readonly concurrencyLimit?: number;
 	/** The number of requests of other entries that are in progress at the VM, as last reported. */
-	readonly othersInProgress?: number;
+	readonly otherEntriesInProgress?: number;
 };
--- a/packages/admission/src/admission-event.ts
+++ b/packages/admission/src/admission-event.ts
@@ -1,12 +1,12 @@
 import type {OutcomeValue, ResultCodeValue} from '@valelead/common';
 import type {AdmissionEndpoint} from './admission-endpoint.js';
-import type {Ticket} from './ticket.js';
+import type {AdmissionRequest} from './admission-request.js';
 import type {RequestLimits} from './request-limits.js';
 
 /** An event that admission reacts to. */
 export type AdmissionEvent =
 	/** A request has arrived. */
-	| {readonly kind: 'arrive'; readonly ticket: Ticket; readonly limits: RequestLimits}
+	| {readonly kind: 'arrive'; readonly request: AdmissionRequest; readonly limits: RequestLimits}
 	/** The caller of a request has disconnected. */
 	| {readonly kind: 'abandon'; readonly requestId: string}
 	/** The entry refuses a waiting request, for example because its model would load too late. */
--- a/packages/admission/src/ticket.ts
+++ b/packages/admission/src/admission-request.ts
@@ -1,5 +1,5 @@
 /** The fields of a request that admission decides on. Times are monotonic milliseconds. */
-export type Ticket = {
+export type AdmissionRequest = {
 	readonly requestId: string;
 	readonly team: string;
 	readonly teamWeight: number;
@@ -20,5 +20,5 @@
 	/** The maximum number of dispatches; absent for the limit in the entry's settings. */
 	readonly maxAttempts?: number;
 	/** The name of the retry budget, which all requests with the same name share. */
-	readonly budget?: string;
+	readonly retryBudget?: string;
 };
--- a/packages/admission/src/admission-settings.ts
+++ b/packages/admission/src/admission-settings.ts
@@ -5,31 +5,31 @@
 	/** The maximum number of dispatches of one request. */
 	readonly maxAttempts: number;
 	/** The retry tokens that each new request adds to its retry budget; a retry after a failure of an upstream costs one token. */
-	readonly retryShare: number;
+	readonly retryTokensPerRequest: number;
 	/** The maximum number of tokens in each retry budget. */
 	readonly maxRetryTokens: number;
 	/** The tokens that each retry budget receives when it opens, less those that it spent before. */
 	readonly initialRetryTokens?: number;
 	/** The monotonic time at which retry budgets open and receive their initial tokens; at once if absent. If it changes, all budgets are reset. */
-	readonly initialRetriesAt?: number;
+	readonly initialRetryTokensAt?: number;
 	/** True if a retry also costs a token when the upstream refused the request before running it. */
-	readonly isRefusalBudgeted?: boolean;
+	readonly isRefusalCharged?: boolean;
 	/** The number of consecutive failures after which an upstream is ejected, that is, gets no requests until its ejection time has passed. */
-	readonly ejectAfter: number;
+	readonly failuresBeforeEjection: number;
 	/** The time of an upstream's first ejection; each further ejection without a success in between lasts twice as long. */
-	readonly ejectMs: number;
-	readonly maxEjectMs: number;
+	readonly baseEjectionMs: number;
+	readonly maxEjectionMs: number;
 	/** The time for which a target's requests are not sent to an upstream that has refused one of them. */
-	readonly avoidMs: number;
+	readonly refusedTargetAvoidMs: number;
 	/** The time before the expiry of a credit in which it is no longer used. */
 	readonly creditMarginMs: number;
 	/** An upstream that has answered none of the entry's requests for this time is used only if no other one can serve; absent for no such check. */
-	readonly unansweredMs?: number;
+	readonly deprioritiseAfterMs?: number;
 	/**
 	 * An upstream that has answered none of the entry's requests for this time is ejected, even if no other one can serve;
 	 * absent for no such check.
 	 */
-	readonly darkMs?: number;
+	readonly ejectUnresponsiveAfterMs?: number;
 	/** The limits of the upstreams that limit their request rate, by VM; absent if none does. */
 	readonly sendLimits?: ReadonlyMap<string, SendLimit>;
 	/** The data centre of the entry. */
--- a/packages/admission/src/get-best-lane.ts
+++ b/packages/admission/src/get-best-lane.ts
@@ -20,7 +20,7 @@
 /** Penalty for each recent failure of an upstream, in requests in progress. */
 const FAILURE_PENALTY = 4;
 
-const hasCapacity = (lane: AdmissionLane, endpoint: AdmissionEndpoint): boolean => endpoint.places === undefined ? lane.credits.length > 0 : lane.inProgress < endpoint.places;
+const hasCapacity = (lane: AdmissionLane, endpoint: AdmissionEndpoint): boolean => endpoint.concurrencyLimit === undefined ? lane.credits.length > 0 : lane.inProgress < endpoint.concurrencyLimit;
 
 const isUsable = (lane: AdmissionLane, endpoint: AdmissionEndpoint, target: string, now: number): boolean => {
 	const isProbing = lane.ejections > 0 && lane.inProgress > 0;
@@ -29,13 +29,13 @@
 
 const isUnanswered = (lane: AdmissionLane, settings: AdmissionSettings, now: number): boolean => {
 	const {unansweredSince} = lane;
-	return settings.unansweredMs !== undefined && unansweredSince !== undefined && now - unansweredSince > settings.unansweredMs;
+	return settings.deprioritiseAfterMs !== undefined && unansweredSince !== undefined && now - unansweredSince > settings.deprioritiseAfterMs;
 };
 
 const getScore = (lane: AdmissionLane, endpoint: AdmissionEndpoint, settings: AdmissionSettings, now: number): number => {
 	const remotePenalty = endpoint.dataCentre === settings.dataCentre ? 0 : REMOTE_PENALTY;
 	const unansweredPenalty = isUnanswered(lane, settings, now) ? UNANSWERED_PENALTY : 0;
-	return lane.inProgress + (endpoint.othersInProgress ?? 0) + remotePenalty + unansweredPenalty + (lane.failures * FAILURE_PENALTY);
+	return lane.inProgress + (endpoint.otherEntriesInProgress ?? 0) + remotePenalty + unansweredPenalty + (lane.failures * FAILURE_PENALTY);
 };
 
 /**
@@ -47,7 +47,7 @@
 	let best: BestLane | undefined;
 	let bestScore = Number.POSITIVE_INFINITY;
 	for (const endpoint of state.endpoints.get(target) ?? []) {
-		const lane = endpoint.places === undefined ? state.lanes.get(endpoint.vm) : getLane(state, endpoint.vm);
+		const lane = endpoint.concurrencyLimit === undefined ? state.lanes.get(endpoint.vm) : getLane(state, endpoint.vm);
 		const isLimitReached = (sendsLeft.get(endpoint.vm) ?? 1) < 1;
 		if (!lane || isLimitReached || !isUsable(lane, endpoint, target, now)) {
 			continue;
@@ -55,7 +55,7 @@
 
 		const score = getScore(lane, endpoint, settings, now);
 		if (score < bestScore) {
-			best = {vm: endpoint.vm, lane, isDirect: endpoint.places !== undefined};
+			best = {vm: endpoint.vm, lane, isDirect: endpoint.concurrencyLimit !== undefined};
 			bestScore = score;
 		}
 	}
--- a/packages/admission/src/get-retry-budget.ts
+++ b/packages/admission/src/get-retry-budget.ts
@@ -1,15 +1,15 @@
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
 import type {RetryBudget} from './retry-budget.js';
-import type {Ticket} from './ticket.js';
+import type {AdmissionRequest} from './admission-request.js';
 
 /** The initial tokens of a retry budget if the settings do not specify them. */
 const INITIAL_TOKENS = 1;
 
 /** Returns the current retry budget of a request. */
-export const getRetryBudget = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, now: number): RetryBudget => {
-	const opensAt = settings.initialRetriesAt ?? Number.NEGATIVE_INFINITY;
-	const known = state.retryBudgets.get(request.budget ?? '');
+export const getRetryBudget = (state: AdmissionState, settings: AdmissionSettings, request: AdmissionRequest, now: number): RetryBudget => {
+	const opensAt = settings.initialRetryTokensAt ?? Number.NEGATIVE_INFINITY;
+	const known = state.retryBudgets.get(request.retryBudget ?? '');
 	const budget = known?.opensAt === opensAt
 		? known
 		: {
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -5,7 +5,7 @@
 export type {AdmissionState} from './admission-state.js';
 export type {SendLimit} from './send-limit.js';
 export type {TargetDemand} from './target-demand.js';
-export type {Ticket} from './ticket.js';
+export type {AdmissionRequest} from './admission-request.js';
 export type {RequestLimits} from './request-limits.js';
 export {getServiceTarget} from './get-service-target.js';
 export {mutateTargetDemands} from './mutate-target-demands.js';
--- a/packages/admission/src/mutate-admission.ts
+++ b/packages/admission/src/mutate-admission.ts
@@ -72,7 +72,7 @@
 const mutateEvent = (state: AdmissionState, settings: AdmissionSettings, event: AdmissionEvent, now: number): AdmissionEffect[] => {
 	switch (event.kind) {
 		case 'arrive': {
-			return mutateArrival(state, settings, event.ticket, event.limits, now);
+			return mutateArrival(state, settings, event.request, event.limits, now);
 		}
 
 		case 'abandon': {
--- a/packages/admission/src/mutate-arrival.ts
+++ b/packages/admission/src/mutate-arrival.ts
@@ -8,10 +8,10 @@
 import type {AdmissionEffect} from './admission-effect.js';
 import type {AdmissionSettings} from './admission-settings.js';
 import type {AdmissionState} from './admission-state.js';
-import type {Ticket} from './ticket.js';
+import type {AdmissionRequest} from './admission-request.js';
 import type {RequestLimits} from './request-limits.js';
 
-const getRefusalCode = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: RequestLimits, now: number): ResultCodeValue | undefined => {
+const getRefusalCode = (state: AdmissionState, settings: AdmissionSettings, request: AdmissionRequest, limits: RequestLimits, now: number): ResultCodeValue | undefined => {
 	const usage = getTeamUsage(state, request.team);
 	if (usage.waiting >= limits.teamWaiting || usage.inProgress + usage.waiting >= limits.teamInProgress + limits.teamWaiting) {
 		return RESULT_CODE.TeamLimit;
@@ -27,7 +27,7 @@
 };
 
 /** Queues a new request, or refuses it at once if a limit is reached or if its expected wait exceeds its deadline. */
-export const mutateArrival = (state: AdmissionState, settings: AdmissionSettings, request: Ticket, limits: RequestLimits, now: number): AdmissionEffect[] => {
+export const mutateArrival = (state: AdmissionState, settings: AdmissionSettings, request: AdmissionRequest, limits: RequestLimits, now: number): AdmissionEffect[] => {
 	state.arrivals.set(request.target, (state.arrivals.get(request.target) ?? 0) + 1);
 	const code = getRefusalCode(state, settings, request, limits, now);
 	if (code !== undefined) {
@@ -40,7 +40,7 @@
 		}];
 	}
 
-	mutateRetryTokens(state, settings, request, settings.retryShare, now);
+	mutateRetryTokens(state, settings, request, settings.retryTokensPerRequest, now);
 	const record = {
 		request, limits, state: 'waiting', attempts: 0, attemptId: '', vm: '', runs: 0, dispatchedAt: 0,
 	};
--- a/packages/admission/src/mutate-attempt-failure.ts
+++ b/packages/admission/src/mutate-attempt-failure.ts
@@ -38,7 +38,7 @@
 
 /** Returns the tokens that a retry costs: none if the request reached no upstream, or if it was refused and the settings do not charge refusals. */
 const getRetryCost = (settings: AdmissionSettings, code: ResultCodeValue): number => {
-	const isFree = code === RESULT_CODE.UpstreamUnreachable || (NOT_ACCEPTING_CODES.has(code) && !settings.isRefusalBudgeted);
+	const isFree = code === RESULT_CODE.UpstreamUnreachable || (NOT_ACCEPTING_CODES.has(code) && !settings.isRefusalCharged);
 	return isFree ? 0 : 1;
 };
 
@@ -77,7 +77,7 @@
 	}
 
 	if (isNotAccepting) {
-		lane.avoided.set(record.request.target, now + settings.avoidMs);
+		lane.avoided.set(record.request.target, now + settings.refusedTargetAvoidMs);
 	} else {
 		mutateLaneFailure(lane, settings, {jitter: failure.jitter, isUnreachable: failure.code === RESULT_CODE.UpstreamUnreachable}, now);
 	}
--- a/packages/admission/src/mutate-lane-failure.ts
+++ b/packages/admission/src/mutate-lane-failure.ts
@@ -18,11 +18,11 @@
  */
 export const mutateLaneFailure = (lane: AdmissionLane, settings: AdmissionSettings, {jitter = 0.5, isUnreachable}: LaneFailure, now: number): void => {
 	lane.failures += 1;
-	if (!isUnreachable && lane.failures < settings.ejectAfter && lane.ejections === 0) {
+	if (!isUnreachable && lane.failures < settings.failuresBeforeEjection && lane.ejections === 0) {
 		return;
 	}
 
-	const baseMs = Math.min(settings.maxEjectMs, settings.ejectMs * (2 ** lane.ejections));
+	const baseMs = Math.min(settings.maxEjectionMs, settings.baseEjectionMs * (2 ** lane.ejections));
 	lane.ejectedUntil = now + (baseMs * (1 - JITTER_SHARE + (2 * JITTER_SHARE * jitter)));
 	lane.ejections += 1;
 	lane.failures = 0;
--- a/packages/admission/src/mutate-unresponsive-lanes.ts
+++ b/packages/admission/src/mutate-unresponsive-lanes.ts
@@ -11,12 +11,12 @@
  * some seconds until the directory removes the machine. Requests that arrive in the meantime are better sent to other upstreams.
  */
 export const mutateUnresponsiveLanes = (state: AdmissionState, settings: AdmissionSettings, now: number): void => {
-	if (settings.darkMs === undefined) {
+	if (settings.ejectUnresponsiveAfterMs === undefined) {
 		return;
 	}
 
 	for (const lane of state.lanes.values()) {
-		if (isUnresponsive(lane, settings.darkMs, now)) {
+		if (isUnresponsive(lane, settings.ejectUnresponsiveAfterMs, now)) {
 			mutateLaneFailure(lane, settings, {isUnreachable: true}, now);
 			lane.unansweredSince = now;
 		}
--- a/packages/admission/src/new-credit-requests.ts
+++ b/packages/admission/src/new-credit-requests.ts
@@ -10,7 +10,7 @@
 	const wanted = new Map<string, number>();
 	for (const [target, queue] of state.queues) {
 		for (const endpoint of state.endpoints.get(target) ?? []) {
-			if (endpoint.places !== undefined) {
+			if (endpoint.concurrencyLimit !== undefined) {
 				continue;
 			}
 
--- a/packages/admission/src/request-record.ts
+++ b/packages/admission/src/request-record.ts
@@ -1,9 +1,9 @@
-import type {Ticket} from './ticket.js';
+import type {AdmissionRequest} from './admission-request.js';
 import type {RequestLimits} from './request-limits.js';
 
 /** The state of one request from its arrival to its end. */
 export type RequestRecord = {
-	readonly request: Ticket;
+	readonly request: AdmissionRequest;
 	readonly limits: RequestLimits;
 	/** The state in the state chart `charts/request.chart.json`. */
 	state: string;
--- a/packages/admission/tests/admission.steps.ts
+++ b/packages/admission/tests/admission.steps.ts
@@ -13,7 +13,7 @@
 };
 
 const SETTINGS: AdmissionSettings = {
-	maxAttempts: 3, retryShare: 0.1, maxRetryTokens: 10, ejectAfter: 3, ejectMs: 500, maxEjectMs: 8000, avoidMs: 50, creditMarginMs: 10, dataCentre: 'dc',
+	maxAttempts: 3, retryTokensPerRequest: 0.1, maxRetryTokens: 10, failuresBeforeEjection: 3, baseEjectionMs: 500, maxEjectionMs: 8000, refusedTargetAvoidMs: 50, creditMarginMs: 10, dataCentre: 'dc',
 };
 const TARGET = 'm@v1';
 const VM = 'vm';
@@ -38,7 +38,7 @@
 		take(world, {
 			kind: 'arrive',
 			limits: LIMITS,
-			ticket: {
+			request: {
 				requestId: `${team}-${world.nextId}`,
 				team,
 				teamWeight: weight,
--- a/packages/admission/tests/direct.steps.ts
+++ b/packages/admission/tests/direct.steps.ts
@@ -5,7 +5,7 @@
 } from '@valelead/common';
 import {newPlainArrival} from '../../../tests/support/new-plain-arrival.js';
 import {
-	type AdmissionEffect, type AdmissionEvent, type AdmissionSettings, type AdmissionState, type Ticket, mutateAdmission, newAdmissionState,
+	type AdmissionEffect, type AdmissionEvent, type AdmissionSettings, type AdmissionState, type AdmissionRequest, mutateAdmission, newAdmissionState,
 } from '@valelead/admission';
 
 type Dispatch = Extract<AdmissionEffect, {kind: 'dispatch'}>;
@@ -53,7 +53,7 @@
 	kind: 'failed', requestId, attemptId, code, outcome, jitter: 0.5,
 });
 
-const arrive = (world: DirectWorld, ticket: Partial<Ticket> = {}): void => {
+const arrive = (world: DirectWorld, ticket: Partial<AdmissionRequest> = {}): void => {
 	const {direct} = world;
 	direct.nextId += 1;
 	take(world, newPlainArrival({
@@ -77,17 +77,17 @@
 		state: newAdmissionState(),
 		settings: {
 			maxAttempts: 4,
-			retryShare: 0,
+			retryTokensPerRequest: 0,
 			maxRetryTokens: retries,
 			initialRetryTokens: retries,
-			isRefusalBudgeted: true,
-			ejectAfter: 3,
-			ejectMs: 1000,
-			maxEjectMs: 8000,
-			avoidMs: 0,
+			isRefusalCharged: true,
+			failuresBeforeEjection: 3,
+			baseEjectionMs: 1000,
+			maxEjectionMs: 8000,
+			refusedTargetAvoidMs: 0,
 			creditMarginMs: 0,
-			unansweredMs: 700,
-			darkMs: 1500,
+			deprioritiseAfterMs: 700,
+			ejectUnresponsiveAfterMs: 1500,
 			dataCentre: 'dc',
 		},
 		now: 0,
@@ -96,7 +96,7 @@
 		refused: [],
 		getReaction: () => undefined,
 	};
-	take(this, {kind: 'endpoints', endpoints: new Map([[TARGET, names.split(', ').map(vm => ({vm, dataCentre: 'dc', places: limit}))]])});
+	take(this, {kind: 'endpoints', endpoints: new Map([[TARGET, names.split(', ').map(vm => ({vm, dataCentre: 'dc', concurrencyLimit: limit}))]])});
 });
 
 When('{int} request(s) arrive(s)', function (this: DirectWorld, count: number) {
--- a/packages/admission/tests/stop-simulation.ts
+++ b/packages/admission/tests/stop-simulation.ts
@@ -46,13 +46,13 @@
 
 const SETTINGS: AdmissionSettings = {
 	maxAttempts: 4,
-	retryShare: 0,
+	retryTokensPerRequest: 0,
 	maxRetryTokens: 100,
 	initialRetryTokens: 100,
-	ejectAfter: 100,
-	ejectMs: 1000,
-	maxEjectMs: 8000,
-	avoidMs: 0,
+	failuresBeforeEjection: 100,
+	baseEjectionMs: 1000,
+	maxEjectionMs: 8000,
+	refusedTargetAvoidMs: 0,
 	creditMarginMs: 0,
 	dataCentre: 'dc',
 };
@@ -118,9 +118,9 @@
 		return at <= now && at > now - STEP_MS;
 	}
 
-	#getEndpoints(now: number): Map<string, Array<{vm: string; dataCentre: string; places: number}>> {
+	#getEndpoints(now: number): Map<string, Array<{vm: string; dataCentre: string; concurrencyLimit: number}>> {
 		const loaded = Object.entries(this.#scenario.loadedAt).filter(([, at]) => at <= now);
-		return new Map(loaded.map(([target]) => [target, [{vm: 'u', dataCentre: 'dc', places: this.#scenario.concurrencyLimit}]]));
+		return new Map(loaded.map(([target]) => [target, [{vm: 'u', dataCentre: 'dc', concurrencyLimit: this.#scenario.concurrencyLimit}]]));
 	}
 
 	#arrive(index: number, request: SimulatedRequest, now: number): void {
--- a/packages/answer/src/event-splitter.ts
+++ b/packages/answer/src/event-splitter.ts
@@ -29,7 +29,7 @@
 	}
 
 	/** Adds the next chunk and returns the events that are complete with it. */
-	take(chunk: Buffer): CompleteEvents {
+	addChunk(chunk: Buffer): CompleteEvents {
 		const end = this.#scanner.scan(chunk);
 		if (end === 0) {
 			this.#rest = Buffer.concat([this.#rest, chunk]);
--- a/packages/answer/src/get-response-defect.ts
+++ b/packages/answer/src/get-response-defect.ts
@@ -1,11 +1,11 @@
-import {ANSWER_DEFECT} from './answer-defect.js';
+import {RESPONSE_DEFECT} from './response-defect.js';
 import {RESPONSE_FRAMING} from './response-framing.js';
 import type {ResponseDefectValue} from './response-defect-value.js';
-import type {AnswerFramingValue} from './answer-framing-value.js';
+import type {ResponseFramingValue} from './response-framing-value.js';
 
 /** The facts about an ended response that decide whether it is complete. */
 type EndedResponse = {
-	readonly framing: AnswerFramingValue;
+	readonly framing: ResponseFramingValue;
 	/** True if the body reached the end that its framing prescribes. */
 	readonly isComplete: boolean;
 	/** True if the connection ended in the same event-loop iteration in which its last bytes arrived, as happens with a reset. */
@@ -20,17 +20,17 @@
  */
 export const getResponseDefect = ({framing, isComplete, isEndedWithData, events}: EndedResponse): ResponseDefectValue | undefined => {
 	if (!isComplete) {
-		return ANSWER_DEFECT.Incomplete;
+		return RESPONSE_DEFECT.Incomplete;
 	}
 
 	const isEndedByConnection = framing === RESPONSE_FRAMING.Connection;
 	if (isEndedByConnection && isEndedWithData) {
-		return ANSWER_DEFECT.Reset;
+		return RESPONSE_DEFECT.Reset;
 	}
 
 	if (events?.isOutsideEvent === false) {
-		return ANSWER_DEFECT.InsideEvent;
+		return RESPONSE_DEFECT.InsideEvent;
 	}
 
-	return isEndedByConnection && events?.hasEvents === false ? ANSWER_DEFECT.NoEvent : undefined;
+	return isEndedByConnection && events?.hasEvents === false ? RESPONSE_DEFECT.NoEvent : undefined;
 };
--- a/packages/answer/src/get-answer-framing.ts
+++ b/packages/answer/src/get-response-framing.ts
@@ -1,6 +1,6 @@
 import type {IncomingHttpHeaders} from 'node:http';
 import {RESPONSE_FRAMING} from './response-framing.js';
-import type {AnswerFramingValue} from './answer-framing-value.js';
+import type {ResponseFramingValue} from './response-framing-value.js';
 
 type ResponseHead = {
 	/** HTTP method of the request. */
@@ -16,7 +16,7 @@
 const LAST_CODING_CHUNKED = /(?:^|,)\s*chunked\s*$/iv;
 
 /** Returns how the body of a response is delimited (RFC 9112, section 6.3). */
-export const getAnswerFraming = ({method, status, headers}: ResponseHead): AnswerFramingValue => {
+export const getResponseFraming = ({method, status, headers}: ResponseHead): ResponseFramingValue => {
 	if (method === 'HEAD' || BODYLESS_STATUSES.has(status)) {
 		return RESPONSE_FRAMING.Bodyless;
 	}
--- a/packages/answer/src/index.ts
+++ b/packages/answer/src/index.ts
@@ -1,9 +1,9 @@
 export type {ResponseDefectValue} from './response-defect-value.js';
-export type {AnswerFramingValue} from './answer-framing-value.js';
-export {ANSWER_DEFECT} from './answer-defect.js';
+export type {ResponseFramingValue} from './response-framing-value.js';
+export {RESPONSE_DEFECT} from './response-defect.js';
 export {RESPONSE_FRAMING} from './response-framing.js';
 export {EventSplitter} from './event-splitter.js';
-export {ReceivedAnswer} from './received-answer.js';
+export {ReceivedResponse} from './received-response.js';
 export {getResponseDefect} from './get-response-defect.js';
-export {getAnswerFraming} from './get-answer-framing.js';
+export {getResponseFraming} from './get-response-framing.js';
 export {isEventStream} from './is-event-stream.js';
--- a/packages/answer/src/received-answer.ts
+++ b/packages/answer/src/received-response.ts
@@ -3,10 +3,10 @@
 import {RESPONSE_FRAMING} from './response-framing.js';
 import {EventScanner} from './event-scanner.js';
 import {getResponseDefect} from './get-response-defect.js';
-import {getAnswerFraming} from './get-answer-framing.js';
+import {getResponseFraming} from './get-response-framing.js';
 import {isEventStream} from './is-event-stream.js';
 import type {ResponseDefectValue} from './response-defect-value.js';
-import type {AnswerFramingValue} from './answer-framing-value.js';
+import type {ResponseFramingValue} from './response-framing-value.js';
 
 /** Returns true if the body is an event stream whose lines can be read, that is, one without a content coding such as gzip. */
 const isPlainEventStream = (headers: IncomingHttpHeaders): boolean => isEventStream(headers['content-type'] ?? '')
@@ -20,9 +20,9 @@
  * connection that was really closed is reported in a later iteration. For a response that is delimited only by the end of its connection,
  * this is the only way to distinguish the two.
  */
-export class ReceivedAnswer {
+export class ReceivedResponse {
 	readonly #message: IncomingMessage;
-	readonly #framing: AnswerFramingValue;
+	readonly #framing: ResponseFramingValue;
 	readonly #events: EventScanner | undefined;
 	/** True if bytes arrived in the current event-loop iteration. */
 	#hasNewData = false;
@@ -32,7 +32,7 @@
 	constructor(message: IncomingMessage, method: string) {
 		const {statusCode, headers} = message;
 		this.#message = message;
-		this.#framing = getAnswerFraming({method, status: statusCode ?? 0, headers});
+		this.#framing = getResponseFraming({method, status: statusCode ?? 0, headers});
 		this.#events = isPlainEventStream(headers) ? new EventScanner() : undefined;
 		if (this.#framing === RESPONSE_FRAMING.Connection) {
 			this.#watchConnection();
@@ -40,12 +40,12 @@
 	}
 
 	/** True if the connection has ended with the response, whether or not the response is complete. */
-	get isConnectionOver(): boolean {
+	get isConnectionEnded(): boolean {
 		return this.#framing === RESPONSE_FRAMING.Connection || !this.#message.complete;
 	}
 
 	/** Reads the next bytes of the body. */
-	take(chunk: Buffer): void {
+	addChunk(chunk: Buffer): void {
 		this.#events?.scan(chunk);
 	}
 
