--- a/packages/answer/src/response-defect-value.ts
+++ b/packages/answer/src/response-defect-value.ts
@@ -1,4 +1,4 @@
-import type {ANSWER_DEFECT} from './answer-defect.js';
+import type {RESPONSE_DEFECT} from './response-defect.js';
 
 /** A reason why a response is incomplete. */
-export type ResponseDefectValue = (typeof ANSWER_DEFECT)[keyof typeof ANSWER_DEFECT];
+export type ResponseDefectValue = (typeof RESPONSE_DEFECT)[keyof typeof RESPONSE_DEFECT];
--- a/packages/answer/src/answer-defect.ts
+++ b/packages/answer/src/response-defect.ts
@@ -1,5 +1,5 @@
 /** The reasons why an upstream's HTTP response that has ended is incomplete, as texts for logs. */
-export const ANSWER_DEFECT = {
+export const RESPONSE_DEFECT = {
 	/** The body is shorter than its `Content-Length`, or its last chunk is missing. */
 	Incomplete: 'the answer ended before it was complete',
 	/** The body is delimited only by the end of the connection, and the connection may have been reset. */
--- a/packages/answer/tests/events.steps.ts
+++ b/packages/answer/tests/events.steps.ts
@@ -3,7 +3,7 @@
 import {Then, When} from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {
-	ANSWER_DEFECT, type ResponseDefectValue, type AnswerFramingValue, EventSplitter, getResponseDefect,
+	RESPONSE_DEFECT, type ResponseDefectValue, type ResponseFramingValue, EventSplitter, getResponseDefect,
 } from '@valelead/answer';
 
 type Event = {
@@ -58,7 +58,7 @@
 	let offset = 0;
 	for (let index = 0; offset < bytes.length; index += 1) {
 		const end = offset + terms.sizes[index % terms.sizes.length];
-		const whole = splitter.take(bytes.subarray(offset, end));
+		const whole = splitter.addChunk(bytes.subarray(offset, end));
 		passed.push(whole.bytes);
 		lastEventId = whole.lastEventId ?? lastEventId;
 		offset = end;
@@ -96,12 +96,12 @@
 	'as no stream': undefined,
 };
 
-When('a response\'s framing is {string}, it is {string}, and it ended {string}', function (this: EventsWorld, framing: AnswerFramingValue, completeness: string, place: string) {
+When('a response\'s framing is {string}, it is {string}, and it ended {string}', function (this: EventsWorld, framing: ResponseFramingValue, completeness: string, place: string) {
 	this.defect = getResponseDefect({
 		framing, isComplete: completeness !== 'incomplete', isEndedWithData: completeness === 'ended in the same turn', events: PLACES[place],
 	});
 });
 
 Then('its defect is {string}', function (this: EventsWorld, name: string) {
-	assert.equal(this.defect, name === 'none' ? undefined : ANSWER_DEFECT[name as keyof typeof ANSWER_DEFECT]);
+	assert.equal(this.defect, name === 'none' ? undefined : RESPONSE_DEFECT[name as keyof typeof RESPONSE_DEFECT]);
 });
--- a/packages/engine/src/http-upstream.ts
+++ b/packages/engine/src/http-upstream.ts
@@ -1,6 +1,6 @@
 import {Buffer} from 'node:buffer';
 import {Agent, type IncomingMessage, request as startRequest} from 'node:http';
-import {ReceivedAnswer} from '@valelead/answer';
+import {ReceivedResponse} from '@valelead/answer';
 import {
 	OUTCOME, RESULT_CODE, ValeleadError, receiveResponse,
 } from '@valelead/common';
@@ -49,12 +49,12 @@
 
 type Answer = {
 	readonly message: IncomingMessage;
-	readonly received: ReceivedAnswer;
+	readonly received: ReceivedResponse;
 };
 
 async function * readBody({message, received}: Answer): AsyncGenerator<Buffer> {
 	for await (const chunk of message) {
-		received.take(chunk as Buffer);
+		received.addChunk(chunk as Buffer);
 		yield chunk as Buffer;
 	}
 
@@ -163,6 +163,6 @@
 		const response = receiveResponse(outgoing, call.signal);
 		outgoing.end(call.body);
 		const message = await response;
-		return {message, received: new ReceivedAnswer(message, call.method)};
+		return {message, received: new ReceivedResponse(message, call.method)};
 	}
 }
--- a/packages/placement/src/decide-placement.ts
+++ b/packages/placement/src/decide-placement.ts
@@ -81,7 +81,7 @@
 			return false;
 		}
 
-		return this.#view.vms.some(vm => vm.isOpen && canLoadInTime(this.#state, unit, vm));
+		return this.#view.vms.some(vm => vm.isSchedulable && canLoadInTime(this.#state, unit, vm));
 	}
 
 	#getCapacity(replicas: readonly PlacementReplica[]): number {
@@ -127,7 +127,7 @@
 	}
 
 	#prewarm(): void {
-		const vm = this.#view.vms.find(candidate => candidate.isOpen);
+		const vm = this.#view.vms.find(candidate => candidate.isSchedulable);
 		if (!vm || this.#state.loads.size > 0) {
 			return;
 		}
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -93,7 +93,7 @@
 	#getChoice(unit: PlacementUnit, vm: PlacementVm, canEvict: boolean): Choice | undefined {
 		const hasUnit = vm.replicas.some(replica => replica.unit === unit.key);
 		const hasBase = unit.base === '' || vm.replicas.some(replica => replica.unit === unit.base && !replica.isRevoking);
-		if (!vm.isOpen || hasUnit || !hasBase) {
+		if (!vm.isSchedulable || hasUnit || !hasBase) {
 			return undefined;
 		}
 
--- a/packages/placement/src/placement-vm.ts
+++ b/packages/placement/src/placement-vm.ts
@@ -5,7 +5,7 @@
 	readonly name: string;
 	readonly memoryBytes: number;
 	/** True if new replicas may be granted on the VM: its lease is valid and it is neither drained nor leaving. */
-	readonly isOpen: boolean;
+	readonly isSchedulable: boolean;
 	/** True if all replicas on the VM are to be revoked. */
 	readonly isDrained: boolean;
 	readonly inProgress: number;
--- a/packages/placement/tests/placement.steps.ts
+++ b/packages/placement/tests/placement.steps.ts
@@ -49,7 +49,7 @@
 
 Given('{int} VM(s) of {int} GiB and {int} cold model(s) of {int} GiB', function (this: PlacementWorld, vms: number, memoryGib: number, models: number, modelGib: number) {
 	this.vms = Array.from({length: vms}, (_, index) => ({
-		name: `vm-${index}`, memoryBytes: memoryGib * GIB, isOpen: true, isDrained: false, inProgress: 0, capacity: 4, cached: new Set<string>(), replicas: [],
+		name: `vm-${index}`, memoryBytes: memoryGib * GIB, isSchedulable: true, isDrained: false, inProgress: 0, capacity: 4, cached: new Set<string>(), replicas: [],
 	}));
 	this.units = new Map(Array.from({length: models}, (_, index) => [`m${index}@v1`, newUnit(index, modelGib)]));
 	this.state = newPlacementState(POLICY, 0);
--- a/packages/quarantine/src/crash-ledger.ts
+++ b/packages/quarantine/src/crash-ledger.ts
@@ -12,5 +12,5 @@
 	/** Fingerprints of requests whose quarantine expired; one more crash quarantines them again. */
 	readonly halfOpen: Set<string>;
 	/** Requests that were answered completely; recent ones are exempt from crash scores. */
-	readonly served: LastServedTimes;
+	readonly lastServedTimes: LastServedTimes;
 };
--- a/packages/quarantine/src/get-begun-score.ts
+++ b/packages/quarantine/src/get-begun-score.ts
@@ -1,5 +1,5 @@
-import {BEGUN_CRASHES} from './begun-crashes.js';
-import {QUARANTINE_BLAME} from './quarantine-blame.js';
+import {BEGUN_CRASH_THRESHOLD} from './begun-crash-threshold.js';
+import {QUARANTINE_SCORE} from './quarantine-score.js';
 import {getBegunRuns} from './get-begun-runs.js';
 import type {CrashLedger} from './crash-ledger.js';
 
@@ -10,4 +10,4 @@
  * on a second upstream after such a crash, and on upstreams without such requests it reaches the phase `SUSPECT_PHASE.Running`.
  */
 export const getBegunScore = (ledger: CrashLedger, fingerprint: string): number =>
-	getBegunRuns(ledger, fingerprint).length >= BEGUN_CRASHES ? QUARANTINE_BLAME : 0;
+	getBegunRuns(ledger, fingerprint).length >= BEGUN_CRASH_THRESHOLD ? QUARANTINE_SCORE : 0;
--- a/packages/quarantine/src/get-evidence.ts
+++ b/packages/quarantine/src/get-crash-evidence.ts
@@ -9,7 +9,7 @@
 const MAX_CRASHES = 12;
 
 /** Returns the most recent crashes at which a request was in progress, with its score for each and the other requests there. */
-export const getEvidence = (ledger: CrashLedger, fingerprint: string, now: number): CrashEvidence[] =>
+export const getCrashEvidence = (ledger: CrashLedger, fingerprint: string, now: number): CrashEvidence[] =>
 	[...ledger.runsBySuspect.get(fingerprint) ?? []].slice(-MAX_CRASHES).map(runId => {
 		const record = ledger.crashes.get(runId)!;
 		const others = [...record.suspects.values()].filter(suspect => suspect.fingerprint !== fingerprint);
--- a/packages/quarantine/src/get-blame.ts
+++ b/packages/quarantine/src/get-crash-score.ts
@@ -10,7 +10,7 @@
  * `HALF_OPEN_SCORE`.
  * @param getSingleScore - Returns the score of the request for one crash; by default, it uses all that the ledger holds.
  */
-export const getBlame = (
+export const getCrashScore = (
 	ledger: CrashLedger,
 	fingerprint: string,
 	getSingleScore: (record: CrashRecord) => number = record => getSingleCrashScore(ledger, record, fingerprint),
--- a/packages/quarantine/src/get-partial-blame.ts
+++ b/packages/quarantine/src/get-local-crash-score.ts
@@ -1,4 +1,4 @@
-import {getBlame} from './get-blame.js';
+import {getCrashScore} from './get-crash-score.js';
 import {getSingleCrashScore} from './get-single-crash-score.js';
 import {SUSPECT_PHASE} from './suspect-phase.js';
 import type {CrashLedger} from './crash-ledger.js';
@@ -9,8 +9,8 @@
  * @param isCleared - Returns true if the leader knows of the crash of a run and does not suspect the request. Such a crash counts only if the
  * request was in phase `SUSPECT_PHASE.Begun`.
  */
-export const getPartialBlame = (ledger: CrashLedger, fingerprint: string, isCleared: (runId: string) => boolean): number =>
-	getBlame(ledger, fingerprint, record => {
+export const getLocalCrashScore = (ledger: CrashLedger, fingerprint: string, isCleared: (runId: string) => boolean): number =>
+	getCrashScore(ledger, fingerprint, record => {
 		const wasBegun = record.suspects.get(fingerprint)!.phase === SUSPECT_PHASE.Begun;
 		return wasBegun || !isCleared(record.runId) ? getSingleCrashScore(ledger, record, fingerprint, true) : 0;
 	});
--- a/packages/quarantine/src/half-open-score.ts
+++ b/packages/quarantine/src/half-open-score.ts
@@ -1,5 +1,5 @@
-import {QUARANTINE_BLAME} from './quarantine-blame.js';
+import {QUARANTINE_SCORE} from './quarantine-score.js';
 import {RUNNING_SCORE} from './running-score.js';
 
 /** Crash score that a request starts from after its quarantine has expired: one more crash quarantines it again. */
-export const HALF_OPEN_SCORE = QUARANTINE_BLAME - RUNNING_SCORE;
+export const HALF_OPEN_SCORE = QUARANTINE_SCORE - RUNNING_SCORE;
--- a/packages/quarantine/src/mutate-broken.ts
+++ b/packages/quarantine/src/mutate-broken-connection.ts
@@ -30,7 +30,7 @@
 };
 
 /** Records a connection that broke before the response to its request was complete, and returns the watched run of its upstream. */
-export const mutateBroken = (watch: CrashWatch, connection: BrokenConnection, now: number): WatchedRun => {
+export const mutateBrokenConnection = (watch: CrashWatch, connection: BrokenConnection, now: number): WatchedRun => {
 	const {runId, suspect} = connection;
 	const run = watch.runs.get(runId) ?? newRun(watch, connection, now);
 	const known = run.suspects.get(suspect.fingerprint);
--- a/packages/quarantine/src/mutate-crash.ts
+++ b/packages/quarantine/src/mutate-crash.ts
@@ -1,4 +1,4 @@
-import {isServedLately} from './is-served-lately.js';
+import {isRecentlyServed} from './is-recently-served.js';
 import {getMergedSuspect} from './get-merged-suspect.js';
 import type {Crash} from './crash.js';
 import type {CrashLedger} from './crash-ledger.js';
@@ -30,7 +30,7 @@
 
 /** Adds a suspect to a crash unless it was served recently; returns true if this changed the record. */
 const mutateSuspect = (ledger: CrashLedger, record: CrashRecord, suspect: Suspect, now: number): boolean => {
-	if (isServedLately(ledger.served, suspect.fingerprint, now)) {
+	if (isRecentlyServed(ledger.lastServedTimes, suspect.fingerprint, now)) {
 		return false;
 	}
 
--- a/packages/quarantine/src/mutate-old-crashes.ts
+++ b/packages/quarantine/src/mutate-expired-crashes.ts
@@ -5,7 +5,7 @@
 const CRASH_RETENTION_MS = 600_000;
 
 /** Removes crashes older than `CRASH_RETENTION_MS` from the ledger. */
-export const mutateOldCrashes = (ledger: CrashLedger, now: number): void => {
+export const mutateExpiredCrashes = (ledger: CrashLedger, now: number): void => {
 	for (const record of ledger.crashes.values()) {
 		if (now - record.at > CRASH_RETENTION_MS) {
 			mutateRemovedCrash(ledger, record);
--- a/packages/quarantine/src/mutate-unwatched.ts
+++ b/packages/quarantine/src/mutate-expired-watches.ts
@@ -7,7 +7,7 @@
 const WATCH_MS = 10_000;
 
 /** Stops watching runs that did not end within `WATCH_MS`. */
-export const mutateUnwatched = (watch: CrashWatch, now: number): void => {
+export const mutateExpiredWatches = (watch: CrashWatch, now: number): void => {
 	for (const [runId, run] of watch.runs) {
 		if (!run.isCrashed && now - run.since > WATCH_MS) {
 			watch.runs.delete(runId);
--- a/packages/quarantine/src/mutate-quarantined.ts
+++ b/packages/quarantine/src/mutate-quarantined-requests.ts
@@ -1,6 +1,6 @@
 import type {CrashLedger} from './crash-ledger.js';
-import {getBlame} from './get-blame.js';
-import {QUARANTINE_BLAME} from './quarantine-blame.js';
+import {getCrashScore} from './get-crash-score.js';
+import {QUARANTINE_SCORE} from './quarantine-score.js';
 
 type ScoreFunction = (fingerprint: string) => number;
 
@@ -10,7 +10,7 @@
 	let highestScore = 0;
 	for (const fingerprint of fingerprints) {
 		const score = ledger.quarantined.has(fingerprint) ? 0 : getScore(fingerprint);
-		if (score >= QUARANTINE_BLAME && score > highestScore) {
+		if (score >= QUARANTINE_SCORE && score > highestScore) {
 			highest = fingerprint;
 			highestScore = score;
 		}
@@ -25,10 +25,10 @@
  * @param fingerprints - Requests with new evidence.
  * @param getScore - Returns the crash score of a request; by default, it uses all that the ledger holds.
  */
-export const mutateQuarantined = (
+export const mutateQuarantinedRequests = (
 	ledger: CrashLedger,
 	fingerprints: readonly string[],
-	getScore: ScoreFunction = fingerprint => getBlame(ledger, fingerprint),
+	getScore: ScoreFunction = fingerprint => getCrashScore(ledger, fingerprint),
 ): string[] => {
 	const quarantined: string[] = [];
 	let next = getHighestScored(ledger, fingerprints, getScore);
--- a/packages/quarantine/src/mutate-released.ts
+++ b/packages/quarantine/src/mutate-released-request.ts
@@ -5,7 +5,7 @@
  * Ends the quarantine of a request and removes the crashes that counted against it.
  * @param isHalfOpen - True if one more crash shall quarantine the request again; false if an operator releases it.
  */
-export const mutateReleased = (ledger: CrashLedger, fingerprint: string, isHalfOpen: boolean): void => {
+export const mutateReleasedRequest = (ledger: CrashLedger, fingerprint: string, isHalfOpen: boolean): void => {
 	ledger.quarantined.delete(fingerprint);
 	mutateClearedCrashes(ledger, fingerprint);
 	if (isHalfOpen) {
--- a/packages/quarantine/src/new-crash-ledger.ts
+++ b/packages/quarantine/src/new-crash-ledger.ts
@@ -2,5 +2,5 @@
 
 /** Creates an empty crash ledger. */
 export const newCrashLedger = (): CrashLedger => ({
-	crashes: new Map(), runsBySuspect: new Map(), quarantined: new Set(), halfOpen: new Set(), served: new Map(),
+	crashes: new Map(), runsBySuspect: new Map(), quarantined: new Set(), halfOpen: new Set(), lastServedTimes: new Map(),
 });
--- a/packages/quarantine/tests/crash-simulation.ts
+++ b/packages/quarantine/tests/crash-simulation.ts
@@ -2,7 +2,7 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {
-	type Suspect, SUSPECT_PHASE, SUSPICION_BLAME, getBlame, mutateCrash, mutateServed, mutateQuarantined, newCrashLedger,
+	type Suspect, SUSPECT_PHASE, SUSPICION_SCORE, getCrashScore, mutateCrash, mutateServedRequest, mutateQuarantinedRequests, newCrashLedger,
 } from '@valelead/quarantine';
 
 type Engine = {
@@ -153,7 +153,7 @@
 
 		this.#runs = this.#runs.filter(other => other !== run);
 		this.served += 1;
-		mutateServed(this.#ledger, run.name, this.#now);
+		mutateServedRequest(this.#ledger, run.name, this.#now);
 	}
 
 	#crash(engine: Engine): void {
@@ -170,7 +170,7 @@
 
 		this.#schedule(DECISION_LAG_MS, () => {
 			mutateCrash(this.#ledger, {runId, suspects}, this.#now);
-			for (const name of mutateQuarantined(this.#ledger, suspects.map(suspect => suspect.fingerprint))) {
+			for (const name of mutateQuarantinedRequests(this.#ledger, suspects.map(suspect => suspect.fingerprint))) {
 				this.quarantined.add(name);
 				this.#runs = this.#options.isQuarantineEnabled ? this.#runs.filter(run => run.name !== name) : this.#runs;
 			}
@@ -178,7 +178,7 @@
 	}
 
 	#retry({name, attempt, isCallerRetry, isCrashing}: Run, wasBegun: boolean): void {
-		const isSuspected = getBlame(this.#ledger, name) >= SUSPICION_BLAME || wasBegun;
+		const isSuspected = getCrashScore(this.#ledger, name) >= SUSPICION_SCORE || wasBegun;
 		const isLast = this.#options.isQuarantineEnabled && isSuspected;
 		if (attempt < MAX_ATTEMPTS && !isLast) {
 			this.#send(name, attempt + 1, isCallerRetry);
--- a/packages/quarantine/tests/judgement.steps.ts
+++ b/packages/quarantine/tests/judgement.steps.ts
@@ -5,14 +5,14 @@
 	type CrashLedger,
 	type CrashWatch,
 	SUSPECT_PHASE,
-	getBlame,
+	getCrashScore,
 	getReplacedRuns,
-	mutateBroken,
+	mutateBrokenConnection,
 	mutateCrash,
-	mutateCrashed,
-	mutateReleased,
-	mutateServed,
-	mutateQuarantined,
+	mutateEndedRun,
+	mutateReleasedRequest,
+	mutateServedRequest,
+	mutateQuarantinedRequests,
 	newCrashLedger,
 	newCrashWatch,
 } from '@valelead/quarantine';
@@ -83,7 +83,7 @@
 const recordCrash = (world: QuarantineWorld, runId: string, names: readonly string[]): void => {
 	world.ledger ??= newCrashLedger();
 	mutateCrash(world.ledger, {runId, suspects: names.map(fingerprint => ({fingerprint, phase: SUSPECT_PHASE.Begun}))}, 0);
-	mutateQuarantined(world.ledger, names);
+	mutateQuarantinedRequests(world.ledger, names);
 };
 
 Given('crashes of runs {string} with requests {string} in progress', function (this: QuarantineWorld, runs: string, names: string) {
@@ -99,40 +99,40 @@
 
 Given('a request {string} that was answered completely', function (this: QuarantineWorld, name: string) {
 	this.ledger = newCrashLedger();
-	mutateServed(this.ledger, name, 0);
+	mutateServedRequest(this.ledger, name, 0);
 });
 
 When('an upstream answers {string} completely', function (this: QuarantineWorld, name: string) {
-	mutateServed(this.ledger!, name, 0);
+	mutateServedRequest(this.ledger!, name, 0);
 });
 
 When('{string} is released by an operator', function (this: QuarantineWorld, name: string) {
-	mutateReleased(this.ledger!, name, false);
+	mutateReleasedRequest(this.ledger!, name, false);
 });
 
 When('the quarantine of {string} expires', function (this: QuarantineWorld, name: string) {
-	mutateReleased(this.ledger!, name, true);
+	mutateReleasedRequest(this.ledger!, name, true);
 	assert.equal(this.ledger!.quarantined.has(name), false);
 });
 
 Then('the crash score of {string} is {int} and that of {string} is {int}', function (this: QuarantineWorld, first: string, score: number, second: string, otherScore: number) {
-	assert.equal(getBlame(this.ledger!, first), score);
-	assert.equal(getBlame(this.ledger!, second), otherScore);
+	assert.equal(getCrashScore(this.ledger!, first), score);
+	assert.equal(getCrashScore(this.ledger!, second), otherScore);
 });
 
 Then('{string} is quarantined', function (this: QuarantineWorld, name: string) {
-	mutateQuarantined(this.ledger!, [name]);
+	mutateQuarantinedRequests(this.ledger!, [name]);
 	assert.ok(this.ledger!.quarantined.has(name));
 });
 
 Then('{string} is not quarantined', function (this: QuarantineWorld, name: string) {
-	mutateQuarantined(this.ledger!, [name]);
+	mutateQuarantinedRequests(this.ledger!, [name]);
 	assert.equal(this.ledger!.quarantined.has(name), false);
 });
 
 When('a connection to run {string} breaks with request {string} in progress', function (this: QuarantineWorld, runId: string, fingerprint: string) {
 	this.watch = newCrashWatch();
-	mutateBroken(this.watch, {runId, address: ADDRESS, suspect: {fingerprint, phase: SUSPECT_PHASE.Running}}, 0);
+	mutateBrokenConnection(this.watch, {runId, address: ADDRESS, suspect: {fingerprint, phase: SUSPECT_PHASE.Running}}, 0);
 });
 
 When('another run announces itself at another address', function (this: QuarantineWorld) {
@@ -149,7 +149,7 @@
 
 Then('run {string} has crashed with request {string} in progress', function (this: QuarantineWorld, runId: string, fingerprint: string) {
 	assert.deepEqual(this.replaced, [runId]);
-	const run = mutateCrashed(this.watch, runId)!;
+	const run = mutateEndedRun(this.watch, runId)!;
 	assert.deepEqual([...run.suspects.keys()], [fingerprint]);
-	assert.equal(mutateCrashed(this.watch, runId), undefined);
+	assert.equal(mutateEndedRun(this.watch, runId), undefined);
 });
--- a/packages/quota/src/limit-book.ts
+++ b/packages/quota/src/limit-table.ts
@@ -3,8 +3,8 @@
 	/** Requests per second from all processes together. */
 	readonly perSecond: number;
 	/** Time of the last response that announced the limit, in monotonic milliseconds. */
-	readonly namedAt: number;
+	readonly announcedAt: number;
 };
 
 /** Rate limits announced by upstreams, by run id of the upstream. */
-export type LimitBook = Map<string, AnnouncedLimit>;
+export type LimitTable = Map<string, AnnouncedLimit>;
--- a/packages/quota/src/mutate-named-limit.ts
+++ b/packages/quota/src/mutate-announced-limit.ts
@@ -1,4 +1,4 @@
-import type {LimitBook} from './limit-book.js';
+import type {LimitTable} from './limit-table.js';
 import type {LimitSighting} from './limit-sighting.js';
 
 /**
@@ -8,19 +8,19 @@
 const LIMIT_HOLD_MS = 1000;
 
 /** Updates the limit of an upstream from one of its responses; returns true if the limit changed. A lower limit applies at once. */
-export const mutateNamedLimit = (table: LimitBook, {upstreamId, perSecond, at}: LimitSighting): boolean => {
+export const mutateAnnouncedLimit = (table: LimitTable, {upstreamId, perSecond, at}: LimitSighting): boolean => {
 	const known = table.get(upstreamId);
 	if (known === undefined) {
 		if (perSecond === undefined) {
 			return false;
 		}
 
-		table.set(upstreamId, {perSecond, namedAt: at});
+		table.set(upstreamId, {perSecond, announcedAt: at});
 		return true;
 	}
 
 	const isHigher = perSecond === undefined || perSecond > known.perSecond;
-	if (isHigher && at - known.namedAt <= LIMIT_HOLD_MS) {
+	if (isHigher && at - known.announcedAt <= LIMIT_HOLD_MS) {
 		return false;
 	}
 
@@ -29,6 +29,6 @@
 		return true;
 	}
 
-	table.set(upstreamId, {perSecond, namedAt: Math.max(at, known.namedAt)});
+	table.set(upstreamId, {perSecond, announcedAt: Math.max(at, known.announcedAt)});
 	return perSecond !== known.perSecond;
 };
--- a/packages/quota/src/mutate-borrowed.ts
+++ b/packages/quota/src/mutate-granted-loans.ts
@@ -1,5 +1,5 @@
 import {getSubjectStock} from './get-subject-stock.js';
-import {mutateSession} from './mutate-session.js';
+import {mutateNewSession} from './mutate-new-session.js';
 import {newExpiredStock} from './new-expired-stock.js';
 import type {Loan} from './loan.js';
 import type {QuotaStock} from './quota-stock.js';
@@ -16,9 +16,9 @@
 };
 
 /** Adds new loans to the stock of a process. They also extend all loans of the same term that have not expired. */
-export const mutateBorrowed = (stock: QuotaStock, {term, loans, validUntil, scarceSubjects}: LoanGrant, now: number): void => {
+export const mutateGrantedLoans = (stock: QuotaStock, {term, loans, validUntil, scarceSubjects}: LoanGrant, now: number): void => {
 	if (stock.current.term !== term) {
-		mutateSession(stock, term);
+		mutateNewSession(stock, term);
 	} else if (now >= stock.current.validUntil) {
 		stock.current = newExpiredStock(stock.current);
 	}
--- a/packages/quota/src/mutate-session.ts
+++ b/packages/quota/src/mutate-new-session.ts
@@ -5,7 +5,7 @@
 const isEmpty = (stock: QuotaStock): boolean => [...stock.current.subjects.values()].every(({free}) => free === 0);
 
 /** Starts a session with a new leader, or a new session with the same leader. The leader does not know the loans of the previous session. */
-export const mutateSession = (stock: QuotaStock, term?: number): void => {
+export const mutateNewSession = (stock: QuotaStock, term?: number): void => {
 	if (!isEmpty(stock)) {
 		stock.previous = stock.current;
 	}
--- a/packages/quota/tests/quota-model.ts
+++ b/packages/quota/tests/quota-model.ts
@@ -1,6 +1,6 @@
 import {
 	type Loan, type Quota, type QuotaLedger, type QuotaStock, type QuotaTolerance, type Reservation, type SubjectUsage,
-	LOAN_MS, getScarceSubjects, mutateBorrowed, mutateConfirmedLoans, mutateDemand, mutateLoan, mutateLostLoans, mutateQuotas, mutateReserved, mutateSession, mutateSettled,
+	LOAN_MS, getScarceSubjects, mutateGrantedLoans, mutateConfirmedLoans, mutateDemand, mutateLoan, mutateExpiredLoans, mutateQuotas, mutateReservedUnits, mutateNewSession, mutateSettledReservation,
 	mutateSubjectReport, mutateUsage, newQuotaLedger, newQuotaStock,
 } from '@valelead/quota';
 
@@ -55,7 +55,7 @@
 	/** Advances the virtual time; the leader then ends expired loans. */
 	advance(ms: number): void {
 		this.now += ms;
-		mutateLostLoans(this.#ledger, this.now);
+		mutateExpiredLoans(this.#ledger, this.now);
 	}
 
 	setQuota(quota: Quota): void {
@@ -66,7 +66,7 @@
 	/** Reserves units for a request at a gateway; returns false if the gateway does not have enough. */
 	serve(index: number, cost: number): boolean {
 		const gateway = this.gateways[index];
-		const reservation = mutateReserved(gateway.stock, TEAM, cost, this.now);
+		const reservation = mutateReservedUnits(gateway.stock, TEAM, cost, this.now);
 		if (!reservation) {
 			return false;
 		}
@@ -109,7 +109,7 @@
 			return undefined;
 		}
 
-		mutateBorrowed(gateway.stock, {...pending, validUntil: pending.reportedAt + LOAN_MS}, this.now);
+		mutateGrantedLoans(gateway.stock, {...pending, validUntil: pending.reportedAt + LOAN_MS}, this.now);
 		return pending.loans[0];
 	}
 
@@ -119,7 +119,7 @@
 		this.#takeUsage(gateway, []);
 		gateway.pending = undefined;
 		gateway.session += 1;
-		mutateSession(gateway.stock);
+		mutateNewSession(gateway.stock);
 	}
 
 	/** Replaces a gateway by a new one with an empty stock. Requests of the old gateway may have run. */
@@ -131,7 +131,7 @@
 	settle(index: number, hasRun: boolean): void {
 		const held = this.gateways[index].reservations.shift();
 		if (held) {
-			mutateSettled(held.reservation, hasRun);
+			mutateSettledReservation(held.reservation, hasRun);
 			held.use.isReleased = !hasRun;
 		}
 	}
--- a/packages/residency/src/engine-copies.ts
+++ b/packages/residency/src/engine-copies.ts
@@ -3,5 +3,5 @@
 	readonly upstreamId: string;
 	readonly models: ReadonlySet<string>;
 	/** The subset of `models` that is loaded. */
-	readonly held: ReadonlySet<string>;
+	readonly loaded: ReadonlySet<string>;
 };
--- a/packages/residency/src/get-load-site.ts
+++ b/packages/residency/src/get-best-load-candidate.ts
@@ -1,18 +1,18 @@
-import {getExpectedMs} from './get-expected-ms.js';
+import {getExpectedReadyMs} from './get-expected-ready-ms.js';
 import {getHash} from './get-hash.js';
-import type {LoadSite} from './load-site.js';
+import type {LoadCandidate} from './load-candidate.js';
 import type {LoadTimes} from './load-times.js';
 
 /**
  * The engine where a model is expected to be ready first. Ties are broken by a hash of model and engine, so that gateways with the same
  * information choose the same engine.
  */
-export const getLoadSite = (model: string, times: LoadTimes, candidates: readonly LoadSite[]): LoadSite | undefined => {
-	let best: LoadSite | undefined;
+export const getBestLoadCandidate = (model: string, times: LoadTimes, candidates: readonly LoadCandidate[]): LoadCandidate | undefined => {
+	let best: LoadCandidate | undefined;
 	let bestMs = Number.POSITIVE_INFINITY;
 	let bestHash = 0;
 	for (const candidate of candidates) {
-		const expectedMs = Math.round(getExpectedMs(candidate, times));
+		const expectedMs = Math.round(getExpectedReadyMs(candidate, times));
 		const hash = getHash(`${model} ${candidate.upstreamId}`);
 		if (expectedMs < bestMs || (expectedMs === bestMs && hash > bestHash)) {
 			best = candidate;
--- a/packages/residency/src/get-engines-ranked-by-copies.ts
+++ b/packages/residency/src/get-engines-ranked-by-copies.ts
@@ -1,4 +1,4 @@
-import {isShortOfCopies} from './is-short-of-copies.js';
+import {hasFewCopies} from './has-few-copies.js';
 import type {EngineCopyCount} from './engine-copy-count.js';
 
 type RankedEngine = {
@@ -14,6 +14,6 @@
 export const getEnginesRankedByCopies = (engines: readonly EngineCopyCount[], getRank: (upstreamId: string) => number): RankedEngine[] => {
 	const mostCopies = Math.max(...engines.map(engine => engine.copies));
 	return engines
-		.map(({upstreamId, copies}) => ({upstreamId, hasFewCopies: isShortOfCopies(copies, mostCopies), rank: getRank(upstreamId)}))
+		.map(({upstreamId, copies}) => ({upstreamId, hasFewCopies: hasFewCopies(copies, mostCopies), rank: getRank(upstreamId)}))
 		.sort((left, right) => (Number(right.hasFewCopies) - Number(left.hasFewCopies)) || (left.rank - right.rank));
 };
--- a/packages/residency/src/get-expected-ms.ts
+++ b/packages/residency/src/get-expected-ready-ms.ts
@@ -1,5 +1,5 @@
 import {getLoadCostMs} from './get-load-cost-ms.js';
-import type {LoadSite} from './load-site.js';
+import type {LoadCandidate} from './load-candidate.js';
 import type {LoadTimes} from './load-times.js';
 
 /** The share of a load's duration that is added on an engine with all slots in use; loads are slower while many requests run. */
@@ -12,15 +12,15 @@
 const EVICTION_WAIT_MS = 1500;
 
 /** The expected time until a model is loaded on an engine, in milliseconds, including queued loads and eviction. */
-export const getExpectedMs = (candidate: LoadSite, times: LoadTimes): number => {
-	if (candidate.isHeld) {
+export const getExpectedReadyMs = (candidate: LoadCandidate, times: LoadTimes): number => {
+	if (candidate.isLoaded) {
 		return candidate.busyMs;
 	}
 
-	const evictionWaitMs = candidate.isInUse ? EVICTION_WAIT_MS : 0;
+	const evictionWaitMs = candidate.isEvictionBlocked ? EVICTION_WAIT_MS : 0;
 	if (candidate.remainingMs !== undefined) {
 		return candidate.remainingMs + (candidate.isStarted ? 0 : evictionWaitMs);
 	}
 
-	return candidate.queueMs + evictionWaitMs + (getLoadCostMs(candidate, times) * (1 + (candidate.pressure * UTILIZATION_SLOWDOWN)));
+	return candidate.queueMs + evictionWaitMs + (getLoadCostMs(candidate, times) * (1 + (candidate.slotUtilization * UTILIZATION_SLOWDOWN)));
 };
--- a/packages/residency/src/get-load-cost-ms.ts
+++ b/packages/residency/src/get-load-cost-ms.ts
@@ -1,4 +1,4 @@
-import type {LoadSite} from './load-site.js';
+import type {LoadCandidate} from './load-candidate.js';
 import type {LoadTimes} from './load-times.js';
 
 /**
@@ -12,7 +12,7 @@
  * The cost of a load on an engine from its fastest source, in milliseconds: the duration of the load and, for a load from the weight
  * store, of the loads from copies that it displaces.
  */
-export const getLoadCostMs = ({hasMemoryCopy, hasDiskCopy, copyShare}: LoadSite, times: LoadTimes): number => {
+export const getLoadCostMs = ({hasMemoryCopy, hasDiskCopy, copyShare}: LoadCandidate, times: LoadTimes): number => {
 	if (hasMemoryCopy) {
 		return times.memoryLoadMs;
 	}
--- a/packages/residency/src/get-load-queue.ts
+++ b/packages/residency/src/get-load-queue.ts
@@ -16,15 +16,15 @@
 const compare = (left: QueuedLoad, right: QueuedLoad): number => (right.valuePerMs - left.valuePerMs) || (left.dueInMs - right.dueInMs);
 
 type QueueInputs = {
-	readonly held: ReadonlySet<string>;
+	readonly loaded: ReadonlySet<string>;
 	readonly needs: readonly UnitNeed[];
 	/** Returns the expected load time of a model on the engine, in milliseconds. */
 	readonly getLoadMs: (model: string) => number;
 	/** Returns how long requests have been waiting for a model, in milliseconds. */
-	readonly getWantedMs: (model: string) => number;
+	readonly getModelWaitMs: (model: string) => number;
 };
 
-const getMissingModels = ({held, needs}: QueueInputs): ReadonlySet<string> => new Set(needs.filter(need => need.waiting > 0 && !held.has(need.model)).map(need => need.model));
+const getMissingModels = ({loaded: held, needs}: QueueInputs): ReadonlySet<string> => new Set(needs.filter(need => need.waiting > 0 && !held.has(need.model)).map(need => need.model));
 
 /**
  * The models that requests wait for and that the engine has not loaded, in the order in which they should be loaded: by the value of the
@@ -36,7 +36,7 @@
 	.map(model => {
 		const waits = getWaits(inputs.needs, model);
 		const loadMs = inputs.getLoadMs(model);
-		const value = getLoadValue(waits, loadMs) * getAgingFactor(inputs.getWantedMs(model));
+		const value = getLoadValue(waits, loadMs) * getAgingFactor(inputs.getModelWaitMs(model));
 		return {model, valuePerMs: value / (loadMs + SWAP_OVERHEAD_MS), dueInMs: Math.min(...waits.map(wait => wait.dueInMs))};
 	})
 	.sort(compare)
--- a/packages/residency/src/get-next-step.ts
+++ b/packages/residency/src/get-next-step.ts
@@ -1,6 +1,6 @@
 import {getAdapterOrder} from './get-adapter-order.js';
 import {getModelToUnload} from './get-model-to-unload.js';
-import {getWantedMs} from './get-wanted-ms.js';
+import {getModelWaitMs} from './get-model-wait-ms.js';
 import {getUsedMemory} from './get-used-memory.js';
 import {getLoadMs} from './get-load-ms.js';
 import {getAgingFactor} from './get-aging-factor.js';
@@ -13,7 +13,7 @@
 import {ORDER_KIND} from './order-kind.js';
 import type {Capacity} from './capacity.js';
 import type {EngineOrder} from './engine-order.js';
-import type {Holdings} from './holdings.js';
+import type {EngineModels} from './engine-models.js';
 import type {LoadStep} from './load-step.js';
 import type {ResidencyState} from './residency-state.js';
 import type {UnitNeed} from './unit-need.js';
@@ -23,9 +23,9 @@
  * by its recent rate: one such load takes as long as about nine swaps. Its value grows with the waiting time, so it runs eventually.
  * If such loads began in every pause of the queue, there would be 19 of them instead of 16 in the simulated pattern mixed-losses.
  */
-const isDisplacingCopyLoads = (state: ResidencyState, capacity: Capacity, engine: Holdings, model: string, needs: readonly UnitNeed[], now: number): boolean => {
+const isDisplacingCopyLoads = (state: ResidencyState, capacity: Capacity, engine: EngineModels, model: string, needs: readonly UnitNeed[], now: number): boolean => {
 	const loadMs = getLoadMs(capacity, engine, model);
-	const value = getLoadValue(getWaits(needs, model), loadMs) * getAgingFactor(getWantedMs(state, model));
+	const value = getLoadValue(getWaits(needs, model), loadMs) * getAgingFactor(getModelWaitMs(state, model));
 	return isStoreLoad(capacity, engine, model) && value > 0 && value < getCopyLoadRate(state, now) * loadMs;
 };
 
@@ -33,10 +33,10 @@
 
 const newModelOrder = (kind: EngineOrder['kind'], model: string): LoadStep => ({kind: 'order', order: {kind, model, adapter: ''}});
 
-const getModelStep = (state: ResidencyState, capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
+const getModelStep = (state: ResidencyState, capacity: Capacity, engine: EngineModels, needs: readonly UnitNeed[], now: number): LoadStep => {
 	const held = new Set(engine.models.map(model => model.name));
 	const queue = getLoadQueue({
-		held, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getWantedMs: model => getWantedMs(state, model),
+		loaded: held, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getModelWaitMs: model => getModelWaitMs(state, model),
 	});
 	const nextModel = queue.find(model => capacity.models.has(model));
 	if (nextModel === undefined) {
@@ -62,7 +62,7 @@
  * every order while it loads a model.
  * @param now - Monotonic time in milliseconds.
  */
-export const getNextStep = (state: ResidencyState, capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[], now: number): LoadStep => {
+export const getNextStep = (state: ResidencyState, capacity: Capacity, engine: EngineModels, needs: readonly UnitNeed[], now: number): LoadStep => {
 	if (engine.isBusy) {
 		return NO_STEP;
 	}
--- a/packages/residency/src/get-fetchers.ts
+++ b/packages/residency/src/get-store-fetchers.ts
@@ -18,7 +18,7 @@
  * else; the remaining places go to engines chosen by a hash of their ids, so that all gateways choose the same ones.
  * @param maxFetches - The number of concurrent fetches that the store is estimated to serve at full speed.
  */
-export const getFetchers = (engines: readonly EngineCopyCount[], maxFetches: number): ReadonlySet<string> => {
+export const getStoreFetchers = (engines: readonly EngineCopyCount[], maxFetches: number): ReadonlySet<string> => {
 	const ranked = getEnginesRankedByCopies(engines, getHash);
 	const fewCopiesCount = ranked.filter(engine => engine.hasFewCopies).length;
 	const count = Math.min(maxFetches, Math.max(fewCopiesCount, Math.ceil(ranked.length * FETCHER_SHARE)));
--- a/packages/residency/src/get-spare-replicas.ts
+++ b/packages/residency/src/get-surplus-replicas.ts
@@ -1,6 +1,6 @@
 import {getHash} from './get-hash.js';
 import {getEnginesRankedByCopies} from './get-engines-ranked-by-copies.js';
-import {getWishedReplicas} from './get-wished-replicas.js';
+import {getTargetReplicas} from './get-target-replicas.js';
 import type {EngineCopyCount} from './engine-copy-count.js';
 
 /**
@@ -8,7 +8,7 @@
  * only when the other replicas fail or are full, so that their engines can evict the model for another one. Engines with few copies serve
  * the model first, because engines with many copies can load more of the rarely used models. All gateways use the same order.
  */
-export const getSpareReplicas = (model: string, replicas: readonly EngineCopyCount[], inProgress: number, slots: number): ReadonlySet<string> => {
+export const getSurplusReplicas = (model: string, replicas: readonly EngineCopyCount[], inProgress: number, slots: number): ReadonlySet<string> => {
 	const ranked = getEnginesRankedByCopies(replicas, upstreamId => -getHash(`${model} ${upstreamId}`));
-	return new Set(ranked.slice(getWishedReplicas(inProgress, slots)).map(replica => replica.upstreamId));
+	return new Set(ranked.slice(getTargetReplicas(inProgress, slots)).map(replica => replica.upstreamId));
 };
--- a/packages/residency/src/get-wished-replicas.ts
+++ b/packages/residency/src/get-target-replicas.ts
@@ -18,7 +18,7 @@
  * The target number of replicas for a model's requests in progress; at least 1.
  * @param slots - The number of requests that one engine processes concurrently.
  */
-export const getWishedReplicas = (inProgress: number, slots: number): number => {
+export const getTargetReplicas = (inProgress: number, slots: number): number => {
 	const perReplica = Math.max(1, Math.min(MAX_REQUESTS_PER_REPLICA, slots * SLOT_SHARE));
 	return Math.max(1, Math.ceil(inProgress / perReplica));
 };
--- a/packages/residency/src/is-short-of-copies.ts
+++ b/packages/residency/src/has-few-copies.ts
@@ -2,4 +2,4 @@
 const FEW_COPIES_SHARE = 0.5;
 
 /** True if an engine has so few copies that it can load few models quickly, such as a newly started replacement. */
-export const isShortOfCopies = (copies: number, usualCopies: number): boolean => copies < usualCopies * FEW_COPIES_SHARE;
+export const hasFewCopies = (copies: number, usualCopies: number): boolean => copies < usualCopies * FEW_COPIES_SHARE;
--- a/packages/residency/src/mutate-wanted.ts
+++ b/packages/residency/src/mutate-model-waits.ts
@@ -5,7 +5,7 @@
 const MAX_GAP_MS = 2000;
 
 /** Starts or extends the model wait of every model that requests wait for, and removes model waits that have ended. */
-export const mutateWanted = (state: ResidencyState, needs: readonly UnitNeed[], now: number): void => {
+export const mutateModelWaits = (state: ResidencyState, needs: readonly UnitNeed[], now: number): void => {
 	for (const [model, {lastAt}] of state.modelWaits) {
 		if (now - lastAt > MAX_GAP_MS) {
 			state.modelWaits.delete(model);
--- a/packages/residency/src/mutate-store-limit.ts
+++ b/packages/residency/src/mutate-store-concurrency-limit.ts
@@ -1,5 +1,5 @@
 import type {StoreFetch} from './store-fetch.js';
-import type {StoreLimit} from './store-limit.js';
+import type {StoreConcurrencyLimit} from './store-concurrency-limit.js';
 
 /** A fetch that exceeds its configured load time by this factor is slowed by other fetches; a busy engine alone takes only slightly longer. */
 const SLOWED_PACE = 1.5;
@@ -8,11 +8,11 @@
 const FULL_SPEED_PACE = 1.25;
 
 /** Raises the limit by one for every fetch that ended at full speed while the limit was reached (additive increase). */
-const mutateLimitByEndedFetches = (limit: StoreLimit, fetches: ReadonlyMap<string, StoreFetch>): void => {
+const mutateLimitByEndedFetches = (limit: StoreConcurrencyLimit, fetches: ReadonlyMap<string, StoreFetch>): void => {
 	for (const [upstreamId, {model, pace, maxConcurrent}] of limit.fetches) {
 		const hasEnded = fetches.get(upstreamId)?.model !== model;
-		if (hasEnded && pace <= FULL_SPEED_PACE && maxConcurrent >= limit.atOnce) {
-			limit.atOnce += 1;
+		if (hasEnded && pace <= FULL_SPEED_PACE && maxConcurrent >= limit.maxFetches) {
+			limit.maxFetches += 1;
 		}
 	}
 };
@@ -22,7 +22,7 @@
  * proportionally: if `maxConcurrent` fetches take `pace` times their configured load time, it can serve `maxConcurrent / pace` at full speed.
  * More fetches would not raise the store's throughput but would block their engines for longer, as an engine loads one model at a time.
  */
-export const mutateStoreLimit = (limit: StoreLimit, underWay: readonly StoreFetch[]): void => {
+export const mutateStoreConcurrencyLimit = (limit: StoreConcurrencyLimit, underWay: readonly StoreFetch[]): void => {
 	const fetches = new Map(underWay.map(fetch => [fetch.upstreamId, fetch]));
 	mutateLimitByEndedFetches(limit, fetches);
 	limit.fetches = new Map(underWay.map(fetch => {
@@ -32,7 +32,7 @@
 	}));
 	for (const {pace, maxConcurrent} of limit.fetches.values()) {
 		if (pace >= SLOWED_PACE) {
-			limit.atOnce = Math.min(limit.atOnce, Math.max(1, Math.floor(maxConcurrent / pace)));
+			limit.maxFetches = Math.min(limit.maxFetches, Math.max(1, Math.floor(maxConcurrent / pace)));
 		}
 	}
 };
--- a/packages/residency/src/store-limit.ts
+++ b/packages/residency/src/store-concurrency-limit.ts
@@ -6,9 +6,9 @@
 };
 
 /** The estimated concurrency limit of the weight store. It is learned from the duration of fetches, because no configuration states it. */
-export type StoreLimit = {
+export type StoreConcurrencyLimit = {
 	/** The number of concurrent fetches that the weight store is estimated to serve at full speed. */
-	atOnce: number;
+	maxFetches: number;
 	/** The fetches in progress, by upstream id. */
 	fetches: ReadonlyMap<string, TrackedFetch>;
 };
--- a/packages/residency/tests/residency.steps.ts
+++ b/packages/residency/tests/residency.steps.ts
@@ -4,9 +4,9 @@
 } from '@cucumber/cucumber';
 import * as fc from 'fast-check';
 import {
-	type Capacity, type EngineCopyCount, type EngineCopies, type EngineOrder, type Holdings, type LoadSite,
-	type UnitNeed, ORDER_KIND, getBalancingFetch, getClassWeight, getLoadSite, getNextStep,
-	getPrefetch, getFetchers, getSpareReplicas, getUnitName, mutateCopyLoad, mutateWanted,
+	type Capacity, type EngineCopyCount, type EngineCopies, type EngineOrder, type EngineModels, type LoadCandidate,
+	type UnitNeed, ORDER_KIND, getRebalancingFetch, getClassWeight, getBestLoadCandidate, getNextStep,
+	getPrefetch, getStoreFetchers, getSurplusReplicas, getUnitName, mutateCopyLoadRate, mutateModelWaits,
 	newResidencyState,
 } from '@valelead/residency';
 
@@ -14,10 +14,10 @@
 	replicas: EngineCopyCount[];
 	slots: number;
 	capacity: Capacity;
-	engine: Holdings;
+	engine: EngineModels;
 	state: ReturnType<typeof newResidencyState>;
 	needs: UnitNeed[];
-	candidates: LoadSite[];
+	candidates: LoadCandidate[];
 	engines: EngineCopies[];
 	models: string[];
 	inProgress: number;
@@ -80,10 +80,10 @@
 const setLoadedModels = (world: ResidencyWorld, held: string, copies: readonly string[]): void => {
 	world.engine = {
 		isBusy: false,
-		replicated: new Set(),
+		loadedElsewhere: new Set(),
 		copiesInMemory: [],
 		copiesOnDisk: copies,
-		lateLoads: [],
+		unconfirmedLoads: [],
 		models: splitList(held).map(text => ({name: text.split('+')[0], adapters: text.split('+').slice(1)})),
 	};
 };
@@ -97,7 +97,7 @@
 });
 
 Given('other engines have also loaded {string}', function (this: ResidencyWorld, models: string) {
-	this.engine = {...this.engine, replicated: new Set(splitList(models))};
+	this.engine = {...this.engine, loadedElsewhere: new Set(splitList(models))};
 });
 
 Given('it is busy', function (this: ResidencyWorld) {
@@ -127,7 +127,7 @@
 	for (let now = 0; now <= lengthMs; now += ARRIVAL_INTERVAL_MS) {
 		const arrivals = Array.from({length: (now / ARRIVAL_INTERVAL_MS) + 1}, (_, index) => index * ARRIVAL_INTERVAL_MS).filter(arrivedAt => now - arrivedAt < patienceMs);
 		this.needs = [newNeed(unit, arrivals.length, 0, arrivals[0] + OBJECTIVE_MS - now)];
-		mutateWanted(this.state, this.needs, now);
+		mutateModelWaits(this.state, this.needs, now);
 	}
 });
 
@@ -147,7 +147,7 @@
 	assert.deepEqual(getNextStep(this.state, this.capacity, this.engine, this.needs, this.now ?? 0), {kind: 'delay', load: {model, reason}});
 });
 
-const getMemory = (capacity: Capacity, models: Holdings['models']): number => {
+const getMemory = (capacity: Capacity, models: EngineModels['models']): number => {
 	let sum = 0;
 	for (const {name, adapters} of models) {
 		const size = capacity.models.get(name)!;
@@ -158,7 +158,7 @@
 };
 
 /** The models that the engine has loaded after it has carried out an order. */
-const getModelsAfter = (models: Holdings['models'], {kind, model, adapter}: EngineOrder): Holdings['models'] => {
+const getModelsAfter = (models: EngineModels['models'], {kind, model, adapter}: EngineOrder): EngineModels['models'] => {
 	if (adapter === '') {
 		return kind === ORDER_KIND.Load ? [...models, {name: model, adapters: []}] : models.filter(held => held.name !== model);
 	}
@@ -166,7 +166,7 @@
 	return models.map(held => held.name === model ? {name: model, adapters: kind === ORDER_KIND.Load ? [...held.adapters, adapter] : held.adapters.filter(name => name !== adapter)} : held);
 };
 
-const checkOrder = (capacity: Capacity, engine: Holdings, needs: readonly UnitNeed[]): void => {
+const checkOrder = (capacity: Capacity, engine: EngineModels, needs: readonly UnitNeed[]): void => {
 	const order = getNextOrder(newResidencyState(), capacity, engine, needs, 0);
 	if (!order) {
 		return;
@@ -186,10 +186,10 @@
 	const engine = fc.record({
 		models: fc.uniqueArray(held, {selector: model => model.name, maxLength: 3}),
 		isBusy: fc.boolean(),
-		replicated: fc.constant(new Set<string>()),
+		loadedElsewhere: fc.constant(new Set<string>()),
 		copiesInMemory: fc.subarray(MODELS),
 		copiesOnDisk: fc.subarray(MODELS),
-		lateLoads: fc.constant([]),
+		unconfirmedLoads: fc.constant([]),
 	});
 	const need = fc.record({
 		model: fc.constantFrom(...MODELS),
@@ -210,28 +210,28 @@
 Given('the candidate engines', function (this: ResidencyWorld, rows: DataTable) {
 	this.candidates = rows.hashes().map(row => ({
 		upstreamId: row.engine,
-		isHeld: row.loaded === 'yes',
+		isLoaded: row.loaded === 'yes',
 		hasMemoryCopy: row.memory === 'yes',
 		hasDiskCopy: row.disk === 'yes',
 		copyShare: row.copies === undefined ? 1 : Number(row.copies),
 		busyMs: row.busy === undefined ? 0 : Number(row.busy),
-		isInUse: row['in use'] === 'yes',
+		isEvictionBlocked: row['in use'] === 'yes',
 		remainingMs: row.remaining === '' ? undefined : Number(row.remaining),
 		isStarted: row.started === 'yes',
 		queueMs: Number(row.queue),
-		pressure: 0,
+		slotUtilization: 0,
 	}));
 });
 
 Then('the engine chosen to load {string} is one of {string}, whatever the order of the candidates', function (this: ResidencyWorld, model: string, expected: string) {
-	const chosen = getLoadSite(model, LOAD_TIMES, this.candidates)!.upstreamId;
+	const chosen = getBestLoadCandidate(model, LOAD_TIMES, this.candidates)!.upstreamId;
 	assert.ok(splitList(expected).includes(chosen), chosen);
-	assert.equal(getLoadSite(model, LOAD_TIMES, [...this.candidates].reverse())!.upstreamId, chosen);
+	assert.equal(getBestLoadCandidate(model, LOAD_TIMES, [...this.candidates].reverse())!.upstreamId, chosen);
 });
 
 Given('{int} idle engines with copies of {string} out of the models {string}', function (this: ResidencyWorld, count: number, kept: string, models: string) {
 	this.models = splitList(models);
-	this.engines = Array.from({length: count}, (_, index) => ({upstreamId: `engine-${index}`, models: new Set(splitList(kept)), held: new Set()}));
+	this.engines = Array.from({length: count}, (_, index) => ({upstreamId: `engine-${index}`, models: new Set(splitList(kept)), loaded: new Set()}));
 });
 
 Then('together they prefetch {int} different models with {int} concurrent fetches', function (this: ResidencyWorld, count: number, loads: number) {
@@ -256,14 +256,14 @@
 
 Then('{int} of the replicas are surplus, whatever their order', function (this: ResidencyWorld, count: number) {
 	const replicas = this.models.map(upstreamId => ({upstreamId, copies: 10}));
-	const spare = getSpareReplicas('m', replicas, this.inProgress, this.slots);
+	const spare = getSurplusReplicas('m', replicas, this.inProgress, this.slots);
 	assert.equal(spare.size, count);
-	assert.deepEqual(getSpareReplicas('m', [...replicas].reverse(), this.inProgress, this.slots), spare);
+	assert.deepEqual(getSurplusReplicas('m', [...replicas].reverse(), this.inProgress, this.slots), spare);
 });
 
 Then('with few copies on {string} the other replicas are surplus', function (this: ResidencyWorld, short: string) {
 	const replicas = this.models.map(upstreamId => ({upstreamId, copies: upstreamId === short ? 2 : 10}));
-	assert.deepEqual([...getSpareReplicas('m', replicas, 1, 64)].sort(), this.models.filter(id => id !== short).sort());
+	assert.deepEqual([...getSurplusReplicas('m', replicas, 1, 64)].sort(), this.models.filter(id => id !== short).sort());
 });
 
 When('requests for {string} arrive for {int} ms and each is served in time from a copy, while {int} request waits for {string}', function (
@@ -275,15 +275,15 @@
 ) {
 	for (let now = 0; now <= lengthMs; now += ARRIVAL_INTERVAL_MS) {
 		this.needs = [newNeed(unit, count, 0, OBJECTIVE_MS - now), newNeed(other, 1, 0, DISTANT_DUE_MS)];
-		mutateWanted(this.state, [newNeed(unit, count, 0, OBJECTIVE_MS - now)], now);
+		mutateModelWaits(this.state, [newNeed(unit, count, 0, OBJECTIVE_MS - now)], now);
 	}
 });
 
 Given('engines with copies of {string}, {string} and {string}', function (this: ResidencyWorld, first: string, second: string, third: string) {
-	this.engines = [first, second, third].map((kept, index) => ({upstreamId: `engine-${index}`, models: new Set(splitList(kept)), held: new Set()}));
+	this.engines = [first, second, third].map((kept, index) => ({upstreamId: `engine-${index}`, models: new Set(splitList(kept)), loaded: new Set()}));
 });
 
-const getFetched = (world: ResidencyWorld): Array<string | undefined> => world.engines.map(({upstreamId}) => getBalancingFetch(upstreamId, MODELS, world.engines, 4));
+const getFetched = (world: ResidencyWorld): Array<string | undefined> => world.engines.map(({upstreamId}) => getRebalancingFetch(upstreamId, MODELS, world.engines, 4));
 
 Then('the engine with copies of {string} fetches one of {string} and no other engine fetches', function (this: ResidencyWorld, kept: string, models: string) {
 	const fetched = getFetched(this);
@@ -306,7 +306,7 @@
 When('the engine has served {int} request(s) per second in time by loads from copies over the last {int} s', function (this: ResidencyWorld, count: number, seconds: number) {
 	for (let second = 1; second <= seconds; second += 1) {
 		this.now = second * 1000;
-		mutateCopyLoad(this.state, count, this.now);
+		mutateCopyLoadRate(this.state, count, this.now);
 	}
 });
 
@@ -323,12 +323,12 @@
 });
 
 Then('{int} engines may fetch, whatever their order', function (this: ResidencyWorld, count: number) {
-	const fetchers = getFetchers(this.replicas, Number.POSITIVE_INFINITY);
+	const fetchers = getStoreFetchers(this.replicas, Number.POSITIVE_INFINITY);
 	assert.equal(fetchers.size, count);
-	assert.deepEqual(getFetchers([...this.replicas].reverse(), Number.POSITIVE_INFINITY), fetchers);
+	assert.deepEqual(getStoreFetchers([...this.replicas].reverse(), Number.POSITIVE_INFINITY), fetchers);
 });
 
 Then('those are the engines without copies', function (this: ResidencyWorld) {
 	const empty = this.replicas.filter(({copies}) => copies === 0).map(({upstreamId}) => upstreamId);
-	assert.deepEqual([...getFetchers(this.replicas, Number.POSITIVE_INFINITY)].sort(), empty.sort());
+	assert.deepEqual([...getStoreFetchers(this.replicas, Number.POSITIVE_INFINITY)].sort(), empty.sort());
 });
--- a/packages/residency/tests/store-limit.steps.ts
+++ b/packages/residency/tests/store-limit.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
-import {type StoreLimit, mutateStoreLimit, newStoreLimit} from '@valelead/residency';
+import {type StoreConcurrencyLimit, mutateStoreConcurrencyLimit, newStoreConcurrencyLimit} from '@valelead/residency';
 
 type Fetch = {
 	readonly upstreamId: string;
@@ -14,7 +14,7 @@
 	loadMs: number;
 	/** The factor by which busy engines prolong a fetch, even if the store serves it at full speed. */
 	slowness: number;
-	limit: StoreLimit;
+	limit: StoreConcurrencyLimit;
 	fetches: Fetch[];
 	now: number;
 	servedMs: number;
@@ -28,7 +28,7 @@
 
 const setStore = (world: StoreWorld, storeCapacity: number, seconds: number, slowness: number): void => {
 	Object.assign(world, {
-		storeCapacity, loadMs: seconds * MS_PER_SECOND, slowness, limit: newStoreLimit(), fetches: [], now: 0, servedMs: 0, capacityMs: 0, startedCount: 0,
+		storeCapacity, loadMs: seconds * MS_PER_SECOND, slowness, limit: newStoreConcurrencyLimit(), fetches: [], now: 0, servedMs: 0, capacityMs: 0, startedCount: 0,
 	});
 };
 
@@ -66,8 +66,8 @@
 const step = (world: StoreWorld): void => {
 	world.now += STEP_MS;
 	serve(world);
-	mutateStoreLimit(world.limit, world.fetches.map(fetch => ({upstreamId: fetch.upstreamId, model: fetch.upstreamId, pace: getPace(world, fetch)})));
-	while (world.fetches.length < world.limit.atOnce) {
+	mutateStoreConcurrencyLimit(world.limit, world.fetches.map(fetch => ({upstreamId: fetch.upstreamId, model: fetch.upstreamId, pace: getPace(world, fetch)})));
+	while (world.fetches.length < world.limit.maxFetches) {
 		world.startedCount += 1;
 		world.fetches.push({upstreamId: `e${world.startedCount}`, startedAt: world.now, servedMs: 0});
 	}
@@ -81,7 +81,7 @@
 });
 
 Then('the estimated limit is between {int} and {int} at the end', function (this: StoreWorld, least: number, most: number) {
-	assert.ok(this.limit.atOnce >= least && this.limit.atOnce <= most, `${this.limit.atOnce}`);
+	assert.ok(this.limit.maxFetches >= least && this.limit.maxFetches <= most, `${this.limit.maxFetches}`);
 });
 
 Then('the store has used at least {float} of its capacity', function (this: StoreWorld, share: number) {
--- a/packages/routing/src/engine-limits.ts
+++ b/packages/routing/src/engine-limits.ts
@@ -1,4 +1,4 @@
-import type {ModelShape} from './model-shape.js';
+import type {ModelProfile} from './model-profile.js';
 
 /** The capacity of each model engine of a service. Memory in megabytes. */
 export type EngineLimits = {
@@ -11,5 +11,5 @@
 	readonly adapterSlots: number;
 	/** The number of loads from the weight store that may start per second, over all engines together. */
 	readonly loadsPerSecond: number;
-	readonly models: readonly ModelShape[];
+	readonly models: readonly ModelProfile[];
 };
--- a/packages/routing/src/get-model-shapes.ts
+++ b/packages/routing/src/get-model-profiles.ts
@@ -1,10 +1,10 @@
 import type {EngineLimits} from './engine-limits.js';
-import type {ModelShape} from './model-shape.js';
+import type {ModelProfile} from './model-profile.js';
 
-const indexes = new WeakMap<EngineLimits, ReadonlyMap<string, ModelShape>>();
+const indexes = new WeakMap<EngineLimits, ReadonlyMap<string, ModelProfile>>();
 
 /** Returns the models of a service by name. The index is built once for each routing configuration. */
-export const getModelShapes = (engine: EngineLimits): ReadonlyMap<string, ModelShape> => {
+export const getModelProfiles = (engine: EngineLimits): ReadonlyMap<string, ModelProfile> => {
 	const known = indexes.get(engine);
 	if (known) {
 		return known;
--- a/packages/routing/src/least-urgent.ts
+++ b/packages/routing/src/lowest-priority.ts
@@ -1,2 +1,2 @@
 /** The lowest priority. Teams and routes without a configured priority have it, and so have callers without a team. */
-export const LEAST_URGENT = 9;
+export const LOWEST_PRIORITY = 9;
--- a/packages/routing/src/model-shape.ts
+++ b/packages/routing/src/model-profile.ts
@@ -1,5 +1,5 @@
 /** The memory that a model needs and the times that it takes to load. Memory in megabytes, times in milliseconds. */
-export type ModelShape = {
+export type ModelProfile = {
 	readonly name: string;
 	readonly weightMemory: number;
 	readonly adapterMemory: number;
--- a/packages/routing/tests/routing.steps.ts
+++ b/packages/routing/tests/routing.steps.ts
@@ -5,7 +5,7 @@
 import {hashKey} from '@valelead/access';
 import {QUOTA_UNIT} from '@valelead/quota';
 import {
-	type Route, type RouteTable, type Routing, type Team, ROUTE_KIND, getRank, getRoute, getRoutingFaults, getService, newRouteTable,
+	type Route, type RouteTable, type Routing, type Team, ROUTE_KIND, getPriorityRank, getRoute, getRoutingFaults, getServiceByWeight, newRouteTable,
 } from '@valelead/routing';
 
 type RoutingWorld = {
@@ -62,7 +62,7 @@
 	const route = this.routing.routes.find(candidate => candidate.name === name)!;
 	this.counts = new Map();
 	for (let index = 0; index < count; index += 1) {
-		const service = getService(route, index / count);
+		const service = getServiceByWeight(route, index / count);
 		this.counts.set(service, (this.counts.get(service) ?? 0) + 1);
 	}
 });
@@ -120,7 +120,7 @@
 });
 
 const getRankOf = ({table}: RoutingWorld, team: Team | undefined, priority: number): number =>
-	getRank(table, table.routing.routes.find(route => route.priority === priority)!, team);
+	getPriorityRank(table, table.routing.routes.find(route => route.priority === priority)!, team);
 
 Then('a request of no team on a route of priority {int} has rank {int}', function (this: RoutingWorld, route: number, rank: number) {
 	assert.equal(getRankOf(this, undefined, route), rank);
@@ -132,7 +132,7 @@
 
 Then('the ranks rise from {int} to {int} with the priorities', function (this: RoutingWorld, first: number, last: number) {
 	const teams = [...this.table.teams.values(), undefined];
-	const ranks = teams.flatMap(team => this.table.routing.routes.map(route => getRank(this.table, route, team)));
+	const ranks = teams.flatMap(team => this.table.routing.routes.map(route => getPriorityRank(this.table, route, team)));
 	assert.deepEqual([ranks[0], ranks.at(-1)], [first, last]);
 	assert.deepEqual(ranks, [...ranks].sort((left, right) => left - right));
 });
--- a/tests/requests/fake-entry.ts
+++ b/tests/requests/fake-entry.ts
@@ -27,12 +27,12 @@
 
 const SETTINGS: AdmissionSettings = {
 	maxAttempts: 5,
-	retryShare: 0.5,
+	retryTokensPerRequest: 0.5,
 	maxRetryTokens: 10,
-	ejectAfter: 3,
-	ejectMs: 200,
-	maxEjectMs: 1000,
-	avoidMs: 50,
+	failuresBeforeEjection: 3,
+	baseEjectionMs: 200,
+	maxEjectionMs: 1000,
+	refusedTargetAvoidMs: 50,
 	creditMarginMs: 100,
 	dataCentre: 'dc-1',
 };
@@ -183,7 +183,7 @@
 		const isRepeatable = request.key === '' || this.#parts.mutation === 'unknown outcomes are retried';
 		this.#take({
 			kind: 'arrive',
-			ticket: {
+			request: {
 				requestId: request.requestId,
 				team: request.team,
 				teamWeight: 1,
