--- a/apps/valelead-daemon/src/control/sessions.ts
+++ b/apps/valelead-daemon/src/control/control-sessions.ts
@@ -15,12 +15,12 @@
 
 type SessionStream = ServerDuplexStream<SessionReport, SessionUpdate>;
 
-/** One process that follows this voter. */
+/** The session of one entry or agent. */
 type Session = {
 	readonly stream: SessionStream;
 	vm: string;
 	isAgent: boolean;
-	/** The sender's time in its last report. */
+	/** The sender's own monotonic time at its last report. */
 	sentAt: number;
 	revision: number;
 	endpointVersion: number;
@@ -35,13 +35,14 @@
 	readonly followers: FollowerSessions | undefined;
 };
 
-/** The longest time that a change of the endpoints waits for others, in milliseconds. */
+/** Maximum time for which a change is delayed so that later changes are sent together with it, in milliseconds. */
 const COALESCE_MS = 5;
 
+/** Interval at which the endpoint table is refreshed and sent to the entries, in milliseconds. */
 const REFRESH_MS = 200;
 
-/** Sessions with entries and agents: takes their heartbeats and sends them what changed. */
-export class Sessions {
+/** Manages the sessions with entries and agents: processes their heartbeats and sends them changes. */
+export class ControlSessions {
 	readonly #voter: Voter;
 	readonly #leader: Leader;
 	readonly #watch: LeaderWatch;
@@ -75,13 +76,14 @@
 		return this.#sessions.size;
 	}
 
+	/** Opens a session on a stream. Once the first report shows that a gateway or sidecar opened it, FollowerSessions takes it over. */
 	accept(stream: SessionStream): void {
 		const session: Session = {
 			stream, vm: '', isAgent: false, sentAt: 0, revision: -1, endpointVersion: 0, report: undefined,
 		};
 		this.#sessions.add(session);
 		stream.on('data', (report: SessionReport) => {
-			this.#takeReport(session, report);
+			this.#handleReport(session, report);
 		});
 		const end = (): void => {
 			this.#sessions.delete(session);
@@ -93,7 +95,7 @@
 		stream.on('cancelled', end);
 	}
 
-	/** Ends all sessions, so that their processes look for another leader. */
+	/** Ends all sessions, so that the connected processes look for another leader. */
 	close(): void {
 		for (const session of this.#sessions) {
 			session.stream.end();
@@ -102,10 +104,10 @@
 		this.#sessions.clear();
 	}
 
-	#takeReport(session: Session, {report}: SessionReport): void {
+	#handleReport(session: Session, {report}: SessionReport): void {
 		if (report.case === 'follower' && this.#followers) {
 			this.#sessions.delete(session);
-			this.#followers.take(session.stream, report.value);
+			this.#followers.handleReport(session.stream, report.value);
 			return;
 		}
 
@@ -118,19 +120,19 @@
 		session.vm = report.value.vm;
 		session.isAgent = report.case === 'agent';
 		if (report.case === 'agent') {
-			this.#takeAgentReport(session, report.value);
+			this.#handleAgentReport(session, report.value);
 			return;
 		}
 
 		session.revision = report.value.revision;
-		this.#leader.takeEntryReport(report.value, SYSTEM_CLOCK.now());
+		this.#leader.handleEntryReport(report.value, SYSTEM_CLOCK.now());
 		this.#sendTo(session);
 	}
 
-	#takeAgentReport(session: Session, report: AgentReport): void {
+	#handleAgentReport(session: Session, report: AgentReport): void {
 		session.report = report;
-		const isHolder = this.#leader.takeVmReport(report, SYSTEM_CLOCK.now());
-		if (!isHolder) {
+		const isRegisteredAgent = this.#leader.handleVmReport(report, SYSTEM_CLOCK.now());
+		if (!isRegisteredAgent) {
 			session.stream.end();
 			return;
 		}
@@ -146,13 +148,13 @@
 
 		this.#endpoints.refresh(this.#voter.machine.intent, this.#leader.fleet, this.#leader.membership, SYSTEM_CLOCK.now());
 		for (const session of this.#sessions) {
-			if (session.vm !== '' && this.#hasNews(session)) {
+			if (session.vm !== '' && this.#hasChanges(session)) {
 				this.#sendTo(session);
 			}
 		}
 	}
 
-	#hasNews(session: Session): boolean {
+	#hasChanges(session: Session): boolean {
 		return session.revision !== this.#voter.machine.intent.revision || (!session.isAgent && session.endpointVersion < this.#endpoints.version);
 	}
 
@@ -177,16 +179,16 @@
 		session.endpointVersion = this.#endpoints.version;
 	}
 
-	/** Orders go only to the agent that the log has registered for the VM. */
+	/** Sends orders to an agent, but only if the committed state has this agent registered for the VM. */
 	#sendOrders(session: Session): void {
 		const {intent} = this.#voter.machine;
-		const isHolder = session.report !== undefined && isRegistered(intent, session.report);
+		const isRegisteredAgent = session.report !== undefined && isRegistered(intent, session.report);
 		session.stream.write(create(SessionUpdateSchema, {
 			sentAt: session.sentAt,
-			isCurrent: isHolder,
+			isCurrent: isRegisteredAgent,
 			leaderAddress: this.#voter.leaderAddress,
 			revision: intent.revision,
-			...(isHolder && {orders: newOrders(intent, session.vm)}),
+			...(isRegisteredAgent && {orders: newOrders(intent, session.vm)}),
 		}));
 		session.revision = intent.revision;
 	}
--- a/apps/valelead-daemon/src/control/gateway-leases.ts
+++ b/apps/valelead-daemon/src/control/gateway-leases.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@valelead/common';
 import type {FollowerReport} from '@valelead/protocol';
-import {BEGUN_CRASHES, CRASH_LEASE_MS} from '@valelead/quarantine';
+import {BEGUN_CRASH_THRESHOLD, CRASH_LEASE_MS} from '@valelead/quarantine';
 import type {FollowerSession} from './follower-session.js';
 
 type LeasesParts = {
@@ -89,7 +89,7 @@
 		const now = this.#parts.clock.now();
 		const isAbsent = ({session: {heardAt}, isSessionEnded}: KnownGateway): boolean => (isSessionEnded || now - heardAt > CRASH_LEASE_MS) && now - heardAt <= ABSENCE_LIMIT_MS;
 		const absentCount = [...this.#gateways.values()].filter(gateway => isAbsent(gateway)).length;
-		return absentCount > 0 ? Math.max(1, BEGUN_CRASHES - absentCount) : undefined;
+		return absentCount > 0 ? Math.max(1, BEGUN_CRASH_THRESHOLD - absentCount) : undefined;
 	}
 
 	get #hasAllReports(): boolean {
--- a/apps/valelead-daemon/src/gateway/gateway.ts
+++ b/apps/valelead-daemon/src/gateway/gateway.ts
@@ -90,7 +90,7 @@
 				this.#dispatcher.takeReport(address, report);
 			},
 			onAttended: () => {
-				this.#follower.reportSoon();
+				this.#follower.scheduleReport();
 			},
 		});
 		this.#engineManagers = new EngineKeepers({
@@ -119,7 +119,7 @@
 			getRoutingAgeMs: () => this.#follower.ageMs,
 			getGrace: () => this.#grace,
 			onNeed: () => {
-				this.#follower.reportSoon();
+				this.#follower.scheduleReport();
 			},
 		});
 		this.#dispatcher = new RequestDispatcher({
@@ -139,10 +139,10 @@
 				this.#metrics.crashedUpstreams.inc();
 			},
 			onCrashReportDue: () => {
-				this.#follower.reportSoon();
+				this.#follower.scheduleReport();
 			},
 			onLimitReportDue: () => {
-				this.#follower.reportSoon();
+				this.#follower.scheduleReport();
 			},
 			onRetry: (service, isAllowed) => {
 				this.#metrics.retries.inc({service, result: isAllowed ? 'sent' : 'refused'});
@@ -204,7 +204,7 @@
 		const endsAt = startedAt + (settings.graceSeconds * MS_PER_SECOND) - SHUTDOWN_RESERVE_MS;
 		this.#grace = {startedAt, endsAt};
 		this.#dispatcher.stop(endsAt);
-		this.#follower.reportSoon();
+		this.#follower.scheduleReport();
 		await timers.wait(Math.min(BALANCER_DRAIN_MS, settings.graceSeconds * MS_PER_SECOND / 2));
 		this.#server.close();
 		this.#server.closeIdle();
@@ -250,41 +250,41 @@
 			clock: SYSTEM_CLOCK,
 			suspensions: SYSTEM_SUSPENSIONS,
 			logger,
-			duties: {
+			orderLeases: {
 				getReport: () => ({...this.#engineManagers.getReport(), isStopping: this.#grace !== undefined, attendedEngines: this.#residency.attendedEngines}),
-				take: grant => {
+				handleUpdate: grant => {
 					this.#engineManagers.take(grant);
 				},
 			},
 			crashes: {
 				getReport: isFirst => this.#dispatcher.crashExchange.getReport(isFirst),
-				take: (list, isLeaders) => {
-					this.#dispatcher.crashExchange.take(list, isLeaders);
+				applyQuarantine: (list, isLeaders) => {
+					this.#dispatcher.crashExchange.applyQuarantine(list, isLeaders);
 				},
-				noteHeard: (reportedAt, isLeaseGranted) => {
-					this.#dispatcher.crashExchange.noteHeard(reportedAt, isLeaseGranted);
+				noteReported: (reportedAt, isLeaseGranted) => {
+					this.#dispatcher.crashExchange.noteReported(reportedAt, isLeaseGranted);
 				},
-				noteKnown: reportedAt => {
-					this.#dispatcher.crashExchange.noteKnown(reportedAt);
+				noteReachableGatewaysApplied: reportedAt => {
+					this.#dispatcher.crashExchange.noteReachableGatewaysApplied(reportedAt);
 				},
-				noteObeyed: reportedAt => {
-					this.#dispatcher.crashExchange.noteObeyed(reportedAt);
+				noteAllGatewaysApplied: reportedAt => {
+					this.#dispatcher.crashExchange.noteAllGatewaysApplied(reportedAt);
 				},
 			},
 			quotas: {
 				getReport: isFirst => this.#intake.quotas.getReport(isFirst),
-				take: news => {
-					this.#intake.quotas.take(news);
+				handleUpdate: news => {
+					this.#intake.quotas.handleUpdate(news);
 				},
 			},
 			limits: {
 				getReport: (sentAt, isFirst) => this.#dispatcher.limitExchange.getReport(sentAt, isFirst),
-				take: news => {
-					this.#dispatcher.limitExchange.take(news);
+				handleUpdate: news => {
+					this.#dispatcher.limitExchange.handleUpdate(news);
 				},
 			},
 			onConfirmed: askedAt => {
-				this.#confirmation.take(askedAt);
+				this.#confirmation.confirm(askedAt);
 			},
 			onRouting: table => {
 				this.#takeRouting(table);
--- a/apps/valelead-daemon/src/standby/standby-server.ts
+++ b/apps/valelead-daemon/src/standby/standby-server.ts
@@ -4,10 +4,10 @@
 } from 'node:http';
 import {RESULT_CODE, RESULT_DETAILS} from '@valelead/common';
 import type {ControlCodec} from '../adapter/control-codec.js';
-import type {ControlReply} from '../controller/control-reply.js';
+import type {ControlResponse} from '../controller/control-response.js';
 import {newRedirect} from '../controller/new-redirect.js';
 import {newRefusal} from '../controller/new-refusal.js';
-import {writeReply} from '../controller/write-reply.js';
+import {writeResponse} from '../controller/write-response.js';
 import {getHost} from '../get-host.js';
 import {getPort} from '../get-port.js';
 import type {LeaderFinder} from './leader-finder.js';
@@ -15,11 +15,11 @@
 type ServerParts = {
 	readonly codec: Pick<ControlCodec, 'decodeCall'>;
 	readonly finder: LeaderFinder;
-	/** IP number and port of this server. */
+	/** IP address and port of this server. */
 	readonly address: string;
 };
 
-/** The control interface of a controller without a disk: sends operators and upstreams to the leader. */
+/** The HTTP control interface of a diskless controller: redirects operators and upstreams to the leader. */
 export class StandbyServer {
 	readonly #parts: ServerParts;
 	readonly #server: Server;
@@ -27,9 +27,9 @@
 	constructor(parts: ServerParts) {
 		this.#parts = parts;
 		this.#server = createServer((message, response) => {
-			// The body is for the leader.
+			// The body is discarded, as the caller sends it again to the leader.
 			message.resume();
-			void this.#answer(message, response);
+			void this.#respond(message, response);
 		});
 	}
 
@@ -44,11 +44,11 @@
 		this.#server.closeIdleConnections();
 	}
 
-	async #answer(message: IncomingMessage, response: ServerResponse): Promise<void> {
-		writeReply(response, await this.#getReply(message.method ?? '', message.url ?? ''));
+	async #respond(message: IncomingMessage, response: ServerResponse): Promise<void> {
+		writeResponse(response, await this.#getResponse(message.method ?? '', message.url ?? ''));
 	}
 
-	async #getReply(method: string, url: string): Promise<ControlReply> {
+	async #getResponse(method: string, url: string): Promise<ControlResponse> {
 		const {codec, finder, address} = this.#parts;
 		if (codec.decodeCall(method, url).kind === 'unknown') {
 			return newRefusal(RESULT_CODE.UnknownPath, RESULT_DETAILS[RESULT_CODE.UnknownPath].meaning);
--- a/apps/valelead-daemon/tests/crash-simulation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -160,7 +160,7 @@
 			logger: pino({level: 'silent'}),
 			getPauseThreshold: () => gatewayLeases.pauseThreshold,
 			onChange: () => {
-				this.#sessions?.[index].pushSoon();
+				this.#sessions?.[index].schedulePush();
 			},
 		});
 		const {voters} = this;
@@ -202,7 +202,7 @@
 		quarantine.start();
 		sessions.start();
 		timers.repeat(ANNOUNCE_MS, () => {
-			sessions.pushSoon();
+			sessions.schedulePush();
 		});
 		return sessions;
 	}
@@ -235,15 +235,15 @@
 		let connectedAt = this.time.now;
 		const handleUpdate = (update: SessionUpdate): void => {
 			if (update.quarantine) {
-				guard.exchange.take(update.quarantine, update.isCurrent);
+				guard.exchange.applyQuarantine(update.quarantine, update.isCurrent);
 			}
 
 			if (update.isCurrent) {
 				gateway.leaderHeardAt = this.time.now;
 				gatewayCount = Math.max(gatewayCount, update.gatewayCount);
-				guard.exchange.noteHeard(update.sentAt, update.isCrashLeaseGranted);
-				guard.exchange.noteKnown(update.crashesKnownUntil);
-				guard.exchange.noteObeyed(update.crashesObeyedUntil);
+				guard.exchange.noteReported(update.sentAt, update.isCrashLeaseGranted);
+				guard.exchange.noteReachableGatewaysApplied(update.crashesKnownUntil);
+				guard.exchange.noteAllGatewaysApplied(update.crashesObeyedUntil);
 				if (update.isReportWanted) {
 					gateway.send(false);
 				}
@@ -314,7 +314,7 @@
 			});
 			toVoter.send(() => {
 				if (isOpen()) {
-					this.#sessions[this.voters.voters.findIndex(({process}) => process === target)].take(stream as never, report);
+					this.#sessions[this.voters.voters.findIndex(({process}) => process === target)].handleReport(stream as never, report);
 				} else if (!gateway.isPartitioned) {
 					for (const end of endListeners) {
 						end();
--- a/apps/valelead-daemon/tests/directory-updates.steps.ts
+++ b/apps/valelead-daemon/tests/directory-updates.steps.ts
@@ -59,7 +59,7 @@
 };
 
 const report = ({sessions}: UpdatesWorld, follower: FakeFollower): void => {
-	sessions.take(follower as never, create(FollowerReportSchema, {
+	sessions.handleReport(follower as never, create(FollowerReportSchema, {
 		vm: follower.vm, role: 'gateway', directoryEpoch: follower.copy.epoch, directoryVersion: follower.copy.version,
 	}));
 };
@@ -121,10 +121,10 @@
 		logger: pino({level: 'silent'}),
 		announceMs: 60_000,
 		onChange() {
-			world.sessions.pushSoon();
+			world.sessions.schedulePush();
 		},
 		onEngineModels(upstream) {
-			world.sessions.tellHolder(upstream);
+			world.sessions.sendToLeaseHolder(upstream);
 		},
 	});
 	const leases = {
--- a/apps/valelead-daemon/tests/quarantine.steps.ts
+++ b/apps/valelead-daemon/tests/quarantine.steps.ts
@@ -147,8 +147,8 @@
 
 const receiveList = (world: QuarantineWorld, suspected: readonly string[]): void => {
 	world.leaderHeardAt = world.time.now;
-	world.gateway.take(create(QuarantineListSchema, {suspected: suspected.map(name => toBytes(name))}), true);
-	world.gateway.noteHeard(world.time.now, true);
+	world.gateway.applyQuarantine(create(QuarantineListSchema, {suspected: suspected.map(name => toBytes(name))}), true);
+	world.gateway.noteReported(world.time.now, true);
 };
 
 When('the gateway sees {int} crashes under {string}, and its leader knows of them', function (this: QuarantineWorld, count: number, name: string) {
@@ -169,7 +169,7 @@
 });
 
 When('a voter that is not the leader sends its list', function (this: QuarantineWorld) {
-	this.gateway.take(create(QuarantineListSchema, {}), false);
+	this.gateway.applyQuarantine(create(QuarantineListSchema, {}), false);
 });
 
 When('the gateway has no contact with the leader for {int} seconds', function (this: QuarantineWorld, seconds: number) {
@@ -185,8 +185,8 @@
 });
 
 When('a leader without the reports of all gateways sends its list', function (this: QuarantineWorld) {
-	this.gateway.take(create(QuarantineListSchema, {}), true);
-	this.gateway.noteHeard(this.time.now, false);
+	this.gateway.applyQuarantine(create(QuarantineListSchema, {}), true);
+	this.gateway.noteReported(this.time.now, false);
 });
 
 Then('the gateway sends {string}', function (this: QuarantineWorld, name: string) {
@@ -392,7 +392,7 @@
 		onCrashReportDue: () => undefined,
 		onQuarantined: () => undefined,
 	});
-	world.guard.exchange.noteHeard(world.time.now, true);
+	world.guard.exchange.noteReported(world.time.now, true);
 };
 
 Given('a gateway whose upstreams crash under requests', function (this: QuarantineWorld) {
--- a/apps/valelead-daemon/tests/retry-model.ts
+++ b/apps/valelead-daemon/tests/retry-model.ts
@@ -271,7 +271,7 @@
 		for (const {count, askedAt, hasRouting, unspentShares} of gateway.updates.splice(0)) {
 			const hadRouting = gateway.hasRouting;
 			gateway.hasRouting ||= hasRouting;
-			gateway.count.take({
+			gateway.count.handleUpdate({
 				count, askedAt, isServing: gateway.hasRouting, unspentShares: hadRouting ? 0 : unspentShares,
 			});
 		}
--- a/packages/quota/src/demand-fade-ms.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** How long what a subject asked for says what it will ask for, in milliseconds. */
-export const DEMAND_FADE_MS = 3000;
