--- a/packages/consensus/src/consensus-node.ts
+++ b/packages/consensus/src/consensus-node.ts
@@ -5,7 +5,7 @@
 import {getLeaseEnd} from './get-lease-end.js';
 import {getTermAt} from './get-term-at.js';
 import {getReducedVoters} from './get-reduced-voters.js';
-import {getSuccessor} from './get-successor.js';
+import {getTransferTarget} from './get-transfer-target.js';
 import {isAskingToJoin} from './is-asking-to-join.js';
 import {isGrowing} from './is-growing.js';
 import {isPersistEffect} from './is-persist-effect.js';
@@ -47,36 +47,36 @@
 	readonly random: () => number;
 };
 
-type Proposal = {
+type PendingProposal = {
 	readonly resolve: (index: number) => void;
 	readonly reject: (error: ValeleadError) => void;
 };
 
-const SHORTEST_TICK_MS = 25;
+const MIN_TICK_MS = 25;
 
 /** Ticks in a heartbeat; the resolution of elections and heartbeats. */
 const TICKS_PER_HEARTBEAT = 4;
 
 /** A disk that refuses writes, such as a full one, is tried again for this long before the voter gives up. */
-const STORAGE_PATIENCE_MS = 30_000;
+const STORAGE_RETRY_LIMIT_MS = 30_000;
 const STORAGE_RETRY_MS = 200;
 
 /** Runs one voter: feeds its state with events and carries out the effects, syncing before answering. */
 export class ConsensusNode {
 	readonly #parts: NodeParts;
 	readonly #state: ConsensusState;
-	readonly #proposals = new Map<string, Proposal>();
+	readonly #proposals = new Map<string, PendingProposal>();
 	readonly #senders = new Map<string, MessageTarget>();
 	/** When a member was last heard, by its id. */
-	readonly #heardAt = new Map<string, number>();
-	#pending: ConsensusEffect[] = [];
+	readonly #lastReceivedAt = new Map<string, number>();
+	#pendingEffects: ConsensusEffect[] = [];
 	#flushing: Promise<void> | undefined;
 	#isStopped = false;
 	#nextProposal = 1;
 	/** The last entry that the state machine has taken; it follows the commit index after the disk. */
-	#machineIndex = 0;
+	#machineAppliedIndex = 0;
 	/** The highest index that a leader has told to be committed since this process started. */
-	#toldIndex = 0;
+	#receivedCommitIndex = 0;
 	#isInformed = false;
 	#resumedAt = Number.NEGATIVE_INFINITY;
 	#ticks: TimerSubscription | undefined;
@@ -86,14 +86,14 @@
 		this.#state = newConsensusState(stored, parts.settings, parts.processStartedAt, parts.random());
 		if (stored.snapshot.data !== '') {
 			parts.machine.restore(stored.snapshot.index, stored.snapshot.data);
-			this.#machineIndex = stored.snapshot.index;
+			this.#machineAppliedIndex = stored.snapshot.index;
 		}
 	}
 
 	start(): void {
 		const {heartbeatMs} = this.#parts.settings;
-		this.#ticks = this.#parts.timers.repeat(Math.max(SHORTEST_TICK_MS, heartbeatMs / TICKS_PER_HEARTBEAT), () => {
-			this.#take({kind: 'tick', jitter: this.#parts.random()});
+		this.#ticks = this.#parts.timers.repeat(Math.max(MIN_TICK_MS, heartbeatMs / TICKS_PER_HEARTBEAT), () => {
+			this.#handle({kind: 'tick', jitter: this.#parts.random()});
 		});
 	}
 
@@ -144,7 +144,7 @@
 
 	/** Whether this voter leads, holds its lease, and has applied everything that earlier leaders committed. */
 	get isCurrentLeader(): boolean {
-		this.#noteResumption();
+		this.#checkSuspension();
 		const now = this.#parts.clock.now();
 		const hasLease = now < getLeaseEnd(this.#state, this.#parts.settings, now);
 		return hasLease && this.#hasOwnCommit();
@@ -152,7 +152,7 @@
 
 	/** Whether the state machine holds everything that any leader has acknowledged: a read now is linearizable. */
 	get canRead(): boolean {
-		return this.isCurrentLeader && this.#machineIndex >= this.#state.appliedIndex;
+		return this.isCurrentLeader && this.#machineAppliedIndex >= this.#state.appliedIndex;
 	}
 
 	/**
@@ -166,9 +166,9 @@
 	/** Takes a message. The sender's address is kept for the answer, as it may not be a known voter yet. */
 	receive(from: MessageTarget, message: ConsensusMessage): void {
 		this.#senders.set(from.id, from);
-		this.#heardAt.set(from.id, this.#parts.clock.now());
-		this.#toldIndex = message.kind === 'appendRequest' ? Math.max(this.#toldIndex, message.commitIndex) : this.#toldIndex;
-		this.#take({kind: 'message', from: from.id, message});
+		this.#lastReceivedAt.set(from.id, this.#parts.clock.now());
+		this.#receivedCommitIndex = message.kind === 'appendRequest' ? Math.max(this.#receivedCommitIndex, message.commitIndex) : this.#receivedCommitIndex;
+		this.#handle({kind: 'message', from: from.id, message});
 	}
 
 	/** Resolves with the index when the command is committed and applied. */
@@ -182,9 +182,9 @@
 
 	/** Hands leadership to the voter that has followed furthest among those that are heard. */
 	transfer(): void {
-		const target = getSuccessor(this.#state, this.#parts.settings, this.#parts.clock.now());
+		const target = getTransferTarget(this.#state, this.#parts.settings, this.#parts.clock.now());
 		if (target) {
-			this.#take({kind: 'transfer', to: target.id});
+			this.#handle({kind: 'transfer', to: target.id});
 		}
 	}
 
@@ -203,7 +203,7 @@
 		const {selfId, term} = this.#state;
 		const now = this.#parts.clock.now();
 		const voters = this.#state.voters.filter(voter => !voter.isLearner);
-		const heard = voters.filter(({id}) => id === selfId || now - (this.#heardAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
+		const heard = voters.filter(({id}) => id === selfId || now - (this.#lastReceivedAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
 		return {
 			voters, heard, term, leader: this.leader, isLeader: this.isLeader,
 		};
@@ -229,12 +229,12 @@
 		this.#nextProposal += 1;
 		return new Promise((resolve, reject) => {
 			this.#proposals.set(proposalId, {resolve, reject});
-			this.#take(newEvent(proposalId));
+			this.#handle(newEvent(proposalId));
 		});
 	}
 
 	/** Takes that the process was suspended before anything is decided on what it held. */
-	#noteResumption(): void {
+	#checkSuspension(): void {
 		const {resumedAt} = this.#parts.suspensions;
 		if (resumedAt > this.#resumedAt) {
 			this.#resumedAt = resumedAt;
@@ -243,8 +243,8 @@
 		}
 	}
 
-	#take(event: ConsensusEvent): void {
-		this.#noteResumption();
+	#handle(event: ConsensusEvent): void {
+		this.#checkSuspension();
 		this.#mutate(event);
 	}
 
@@ -258,18 +258,18 @@
 			return;
 		}
 
-		this.#pending.push(...effects);
+		this.#pendingEffects.push(...effects);
 		this.#flushing ??= this.#flush();
 	}
 
 	async #flush(): Promise<void> {
 		try {
-			while (this.#pending.length > 0 && !this.#isStopped) {
-				const batch = this.#pending;
-				this.#pending = [];
+			while (this.#pendingEffects.length > 0 && !this.#isStopped) {
+				const batch = this.#pendingEffects;
+				this.#pendingEffects = [];
 				await this.#persist(batch);
 				for (const effect of batch) {
-					this.#carryOut(effect);
+					this.#execute(effect);
 				}
 
 				this.#compact();
@@ -289,22 +289,22 @@
 			return;
 		}
 
-		await this.#persistPatiently(effects);
+		await this.#persistWithRetries(effects);
 		const entry = effects.flatMap(effect => effect.kind === 'persistHardState' ? [] : effect.entries).at(-1);
 		if (entry) {
-			this.#take({kind: 'synced', index: entry.index, term: entry.term});
+			this.#handle({kind: 'synced', index: entry.index, term: entry.term});
 		}
 	}
 
 	/** Nothing that depends on the batch is sent before it is stored, so a voter whose disk refuses writes falls silent. */
-	async #persistPatiently(effects: readonly PersistEffect[]): Promise<void> {
-		const givesUpAt = this.#parts.clock.now() + STORAGE_PATIENCE_MS;
+	async #persistWithRetries(effects: readonly PersistEffect[]): Promise<void> {
+		const retriesEndAt = this.#parts.clock.now() + STORAGE_RETRY_LIMIT_MS;
 		for (;;) {
 			try {
 				await this.#parts.storage.persist(effects);
 				return;
 			} catch (error) {
-				if (this.#isStopped || this.#parts.clock.now() >= givesUpAt) {
+				if (this.#isStopped || this.#parts.clock.now() >= retriesEndAt) {
 					throw error;
 				}
 
@@ -314,7 +314,7 @@
 		}
 	}
 
-	#carryOut(effect: ConsensusEffect): void {
+	#execute(effect: ConsensusEffect): void {
 		switch (effect.kind) {
 			case 'send': {
 				const to = this.#state.voters.find(voter => voter.id === effect.to) ?? this.#senders.get(effect.to);
@@ -330,15 +330,15 @@
 					this.#parts.machine.apply(effect.entry.index, effect.entry.data);
 				}
 
-				this.#machineIndex = effect.entry.index;
-				this.#isInformed ||= effect.entry.term === this.#state.term && effect.entry.index >= this.#toldIndex;
+				this.#machineAppliedIndex = effect.entry.index;
+				this.#isInformed ||= effect.entry.term === this.#state.term && effect.entry.index >= this.#receivedCommitIndex;
 
 				break;
 			}
 
 			case 'restore': {
 				this.#parts.machine.restore(effect.snapshot.index, effect.snapshot.data);
-				this.#machineIndex = effect.snapshot.index;
+				this.#machineAppliedIndex = effect.snapshot.index;
 				break;
 			}
 
@@ -362,9 +362,9 @@
 
 	#compact(): void {
 		const isDue = this.#state.appliedIndex - this.#state.snapshot.index >= this.#parts.snapshotEvery;
-		const isSettled = this.#pending.every(effect => effect.kind !== 'apply');
+		const isSettled = this.#pendingEffects.every(effect => effect.kind !== 'apply');
 		if (isDue && isSettled && getLastIndex(this.#state) > 0) {
-			this.#take({kind: 'compact', index: this.#state.appliedIndex, data: this.#parts.machine.save()});
+			this.#handle({kind: 'compact', index: this.#state.appliedIndex, data: this.#parts.machine.save()});
 		}
 	}
 }
--- a/packages/consensus/src/consensus-state.ts
+++ b/packages/consensus/src/consensus-state.ts
@@ -26,9 +26,9 @@
 	jitter: number;
 	heartbeatDueAt: number;
 	/** Answers to messages that were sent earlier confirm no lease, as more time may have passed since than the clock shows. */
-	confirmedFrom: number;
+	acksValidAfter: number;
 	leaderSince: number;
-	granted: Set<string>;
+	grantedVotes: Set<string>;
 	peers: Map<string, PeerProgress>;
 	proposals: Map<number, string>;
 	transferTo: string | undefined;
--- a/packages/consensus/src/file-storage.ts
+++ b/packages/consensus/src/file-storage.ts
@@ -13,7 +13,7 @@
 import type {StoredLog} from './stored-log.js';
 
 /** The log may hold keys of callers. */
-const OWNER_ONLY = 0o600;
+const OWNER_ONLY_MODE = 0o600;
 
 const FILE_PATTERN = /^log-(?<number>\d+)\.wal$/v;
 
@@ -40,7 +40,7 @@
 	/** Bytes of the file that are whole and synced. */
 	#validLength = 0;
 	/** Whether a write failed, so that the file may hold more than that. */
-	#isDirty = false;
+	#hasFailedWrite = false;
 
 	constructor(folder: string) {
 		this.#folder = folder;
@@ -104,14 +104,14 @@
 	/** A write that failed is cut off before the next one, so that a batch can be tried again. */
 	async #append(frame: Buffer): Promise<void> {
 		const handle = this.#handle!;
-		if (this.#isDirty) {
+		if (this.#hasFailedWrite) {
 			await handle.truncate(this.#validLength);
 		}
 
-		this.#isDirty = true;
+		this.#hasFailedWrite = true;
 		await handle.appendFile(frame);
 		await handle.datasync();
-		this.#isDirty = false;
+		this.#hasFailedWrite = false;
 		this.#validLength += frame.length;
 	}
 
@@ -126,13 +126,13 @@
 		this.#number = previous + 1;
 		this.#stored = stored;
 		this.#validLength = frame.length;
-		this.#isDirty = false;
+		this.#hasFailedWrite = false;
 		await this.#reopen(file);
 		await rm(path.join(this.#folder, getFileName(previous)), {force: true});
 	}
 
 	async #writeNew(file: string, frame: Buffer): Promise<void> {
-		const handle = await open(file, 'w', OWNER_ONLY);
+		const handle = await open(file, 'w', OWNER_ONLY_MODE);
 		try {
 			await handle.writeFile(frame);
 			await handle.sync();
--- a/packages/consensus/src/get-next-voters.ts
+++ b/packages/consensus/src/get-current-voters.ts
@@ -9,7 +9,7 @@
 };
 
 /** The voters set by the last configuration entry, or by the snapshot where the log holds none. */
-export const getNextVoters = (snapshot: Snapshot, log: readonly LogEntry[]): CurrentVoters => {
+export const getCurrentVoters = (snapshot: Snapshot, log: readonly LogEntry[]): CurrentVoters => {
 	const entry = log.findLast(candidate => candidate.kind === LOG_ENTRY_KIND.Configuration);
 	if (!entry) {
 		return {voters: snapshot.voters, index: snapshot.index};
--- a/packages/consensus/src/get-formation.ts
+++ b/packages/consensus/src/get-formation.ts
@@ -5,7 +5,7 @@
 const getProposal = (self: Voter, peers: readonly FoundVoter[]): Voter[] => [self, ...peers.filter(peer => peer.canVote).map(peer => peer.voter)]
 	.sort((left, right) => left.vm < right.vm ? -1 : 1);
 
-const isAgreed = (peers: readonly FoundVoter[], ids: readonly string[]): boolean => peers
+const isSameProposal = (peers: readonly FoundVoter[], ids: readonly string[]): boolean => peers
 	.filter(peer => peer.canVote)
 	.every(({proposal}) => proposal.length === ids.length && proposal.every((id, index) => id === ids[index]));
 
@@ -35,5 +35,5 @@
 
 	const voters = getProposal(self, peers);
 	const ids = voters.map(voter => voter.id);
-	return isAgreed(peers, ids) ? {kind: 'form', voters} : {kind: 'wait', proposal: ids};
+	return isSameProposal(peers, ids) ? {kind: 'form', voters} : {kind: 'wait', proposal: ids};
 };
--- a/packages/consensus/src/get-lease-end.ts
+++ b/packages/consensus/src/get-lease-end.ts
@@ -16,7 +16,7 @@
 
 	const getConfirmedAt = (id: string): number => {
 		const sentAt = state.peers.get(id)?.ackedSentAt ?? Number.NEGATIVE_INFINITY;
-		return sentAt <= state.confirmedFrom ? Number.NEGATIVE_INFINITY : sentAt;
+		return sentAt <= state.acksValidAfter ? Number.NEGATIVE_INFINITY : sentAt;
 	};
 
 	const ackedAt = getQuorumValue(state, id => id === state.selfId ? now : getConfirmedAt(id));
--- a/packages/consensus/src/get-next-membership.ts
+++ b/packages/consensus/src/get-next-membership.ts
@@ -6,19 +6,19 @@
  * Undefined where nothing is left to do. The old one leaves first, as it is gone: were the new one to vote
  * before that, a majority of one voter more would need the new one itself, and fewer sets of losses would be borne.
  */
-export const getNextMembership = (voters: readonly Voter[], wished: Voter, isCaughtUp: boolean): readonly Voter[] | undefined => {
-	const known = voters.find(voter => voter.id === wished.id);
-	if (!known) {
-		return [...voters, {...wished, isLearner: true}];
+export const getNextMembership = (voters: readonly Voter[], joining: Voter, isCaughtUp: boolean): readonly Voter[] | undefined => {
+	const current = voters.find(voter => voter.id === joining.id);
+	if (!current) {
+		return [...voters, {...joining, isLearner: true}];
 	}
 
-	const replaced = voters.find(voter => voter.vm === wished.vm && voter.id !== wished.id);
+	const replaced = voters.find(voter => voter.vm === joining.vm && voter.id !== joining.id);
 	if (replaced && isCaughtUp) {
 		return voters.filter(voter => voter.id !== replaced.id);
 	}
 
-	if (known.isLearner && isCaughtUp) {
-		return voters.map(voter => voter.id === wished.id ? {...wished, isLearner: false} : voter);
+	if (current.isLearner && isCaughtUp) {
+		return voters.map(voter => voter.id === joining.id ? {...joining, isLearner: false} : voter);
 	}
 
 	return undefined;
--- a/packages/consensus/src/get-reduced-voters.ts
+++ b/packages/consensus/src/get-reduced-voters.ts
@@ -21,7 +21,7 @@
 	const silent = state.voters.filter(voter => isSilent(state, voter, silenceMs, now));
 	const learner = silent.find(voter => voter.isLearner);
 	const count = state.voters.filter(voter => !voter.isLearner).length;
-	const isReducible = count > leastVoters && count % 2 === 0;
-	const removed = learner ?? (isReducible ? silent[0] : undefined);
+	const isRemovalSafe = count > leastVoters && count % 2 === 0;
+	const removed = learner ?? (isRemovalSafe ? silent[0] : undefined);
 	return removed && state.voters.filter(voter => voter.id !== removed.id);
 };
--- a/packages/consensus/src/get-successor.ts
+++ b/packages/consensus/src/get-transfer-target.ts
@@ -6,9 +6,9 @@
  * The voter that has followed furthest, among those that answered a message of the last election timeout: one that is
  * gone may have followed as far. Undefined where none answered; handing over would only leave the quorum without a leader sooner.
  */
-export const getSuccessor = (state: ConsensusState, settings: ConsensusSettings, now: number): Voter | undefined => {
-	const isHeard = ({id}: Voter): boolean => now - (state.peers.get(id)?.ackedSentAt ?? Number.NEGATIVE_INFINITY) <= settings.electionTimeoutMs;
+export const getTransferTarget = (state: ConsensusState, settings: ConsensusSettings, now: number): Voter | undefined => {
+	const isReachable = ({id}: Voter): boolean => now - (state.peers.get(id)?.ackedSentAt ?? Number.NEGATIVE_INFINITY) <= settings.electionTimeoutMs;
 	const getMatch = ({id}: Voter): number => state.peers.get(id)?.matchIndex ?? 0;
-	const followers = state.voters.filter(voter => !voter.isLearner && voter.id !== state.selfId && isHeard(voter));
+	const followers = state.voters.filter(voter => !voter.isLearner && voter.id !== state.selfId && isReachable(voter));
 	return followers.sort((left, right) => getMatch(right) - getMatch(left))[0];
 };
--- a/packages/consensus/src/is-growing.ts
+++ b/packages/consensus/src/is-growing.ts
@@ -4,7 +4,7 @@
 export const isGrowing = (state: ConsensusState, leastVoters: number, growthMs: number, now: number): boolean => {
 	const count = state.voters.filter(voter => !voter.isLearner).length;
 	// Voters count from when a majority of them has synced that they are.
-	const isEnough = count >= leastVoters && state.votersIndex <= state.commitIndex;
+	const isMinReached = count >= leastVoters && state.votersIndex <= state.commitIndex;
 	const joinedAt = Math.max(state.leaderSince, ...[...state.peers.values()].map(progress => progress.joinedAt));
-	return state.role === 'leader' && !isEnough && now - joinedAt < growthMs;
+	return state.role === 'leader' && !isMinReached && now - joinedAt < growthMs;
 };
--- a/packages/consensus/src/mutate-candidate.ts
+++ b/packages/consensus/src/mutate-candidate.ts
@@ -11,9 +11,9 @@
 	state.term += 1;
 	state.votedFor = state.selfId;
 	state.leaderId = undefined;
-	state.granted = new Set([state.selfId]);
+	state.grantedVotes = new Set([state.selfId]);
 	const effects: ConsensusEffect[] = [{kind: 'persistHardState', hardState: {term: state.term, votedFor: state.selfId}}];
-	if (hasQuorum(state, state.granted)) {
+	if (hasQuorum(state, state.grantedVotes)) {
 		mutateRole(state, 'voteWon');
 		return [...effects, ...mutateLeader(state, settings, now)];
 	}
--- a/packages/consensus/src/mutate-configuration.ts
+++ b/packages/consensus/src/mutate-configuration.ts
@@ -12,7 +12,7 @@
 const getVotingIds = (voters: readonly Voter[]): string[] => voters.filter(voter => !voter.isLearner).map(voter => voter.id);
 
 /** Two configurations that differ by at most one vote have overlapping majorities. */
-const isOneStep = (from: readonly Voter[], to: readonly Voter[]): boolean => {
+const isSingleVoteChange = (from: readonly Voter[], to: readonly Voter[]): boolean => {
 	const before = new Set(getVotingIds(from));
 	const after = new Set(getVotingIds(to));
 	const added = [...after].filter(id => !before.has(id)).length;
@@ -25,8 +25,8 @@
  * leader's own term has committed.
  */
 export const mutateConfiguration = (state: ConsensusState, now: number, proposalId: string, voters: readonly Voter[]): ConsensusEffect[] => {
-	const isSettled = state.votersIndex <= state.commitIndex && getTermAt(state, state.commitIndex) === state.term;
-	if (state.role !== 'leader' || state.transferTo !== undefined || !isSettled || !isOneStep(state.voters, voters)) {
+	const isPreviousCommitted = state.votersIndex <= state.commitIndex && getTermAt(state, state.commitIndex) === state.term;
+	if (state.role !== 'leader' || state.transferTo !== undefined || !isPreviousCommitted || !isSingleVoteChange(state.voters, voters)) {
 		return newRejection(proposalId);
 	}
 
--- a/packages/consensus/src/mutate-consensus.ts
+++ b/packages/consensus/src/mutate-consensus.ts
@@ -1,6 +1,6 @@
 import {assertNever} from '@valelead/common';
 import {getLastIndex} from './get-last-index.js';
-import {getNextVoters} from './get-next-voters.js';
+import {getCurrentVoters} from './get-current-voters.js';
 import {getTermAt} from './get-term-at.js';
 import {isVoting} from './is-voting.js';
 import {mutateCandidate} from './mutate-candidate.js';
@@ -29,7 +29,7 @@
 	return state.role === 'leader' ? mutateCommit(state) : [];
 };
 
-const mutateTransfer = (state: ConsensusState, settings: ConsensusSettings, now: number, to: string): ConsensusEffect[] => {
+const mutateTransferStart = (state: ConsensusState, settings: ConsensusSettings, now: number, to: string): ConsensusEffect[] => {
 	if (state.role !== 'leader' || !isVoting(state, to) || to === state.selfId) {
 		return [];
 	}
@@ -57,7 +57,7 @@
  * at this very moment, on a clock that stood still, may be from before; so the next heartbeat goes with the next tick.
  */
 const mutateResumed = (state: ConsensusState, now: number): ConsensusEffect[] => {
-	state.confirmedFrom = now;
+	state.acksValidAfter = now;
 	state.heartbeatDueAt = now;
 	return [];
 };
@@ -69,7 +69,7 @@
 	}
 
 	const offset = index - state.snapshot.index;
-	const {voters} = getNextVoters(state.snapshot, state.log.slice(0, offset));
+	const {voters} = getCurrentVoters(state.snapshot, state.log.slice(0, offset));
 	state.log = state.log.slice(offset);
 	state.snapshot = {
 		index, term, voters, data,
@@ -141,7 +141,7 @@
 		}
 
 		case 'transfer': {
-			return mutateTransfer(state, settings, now, event.to);
+			return mutateTransferStart(state, settings, now, event.to);
 		}
 
 		case 'compact': {
--- a/packages/consensus/src/mutate-election.ts
+++ b/packages/consensus/src/mutate-election.ts
@@ -16,8 +16,8 @@
 
 	mutateRole(state, 'electionTimeout');
 	state.leaderId = undefined;
-	state.granted = new Set([state.selfId]);
-	if (hasQuorum(state, state.granted)) {
+	state.grantedVotes = new Set([state.selfId]);
+	if (hasQuorum(state, state.grantedVotes)) {
 		mutateRole(state, 'preVoteWon');
 		return mutateCandidate(state, settings, now, false);
 	}
--- a/packages/consensus/src/mutate-follower.ts
+++ b/packages/consensus/src/mutate-follower.ts
@@ -17,7 +17,7 @@
 	}
 
 	mutateRole(state, event);
-	state.granted.clear();
+	state.grantedVotes.clear();
 	state.peers.clear();
 	state.transferTo = undefined;
 	if (state.leaderId === state.selfId) {
--- a/packages/consensus/src/mutate-leader-seen.ts
+++ b/packages/consensus/src/mutate-leader-seen.ts
@@ -7,7 +7,7 @@
  * Over which part of the election timeout the first elections after a leader's last word are spread. More of it parts
  * voters that are far from each other better, and makes all others wait longer.
  */
-const FIRST_SPREAD = 0.25;
+const FIRST_ELECTION_SPREAD = 0.25;
 
 /** Follows the sender of a message that only a leader sends. */
 export const mutateLeaderSeen = (state: ConsensusState, settings: ConsensusSettings, now: number, from: string, term: number): ConsensusEffect[] => {
@@ -16,6 +16,6 @@
 	state.leaderId = from;
 	state.leaderContactAt = now;
 	// Those that heard the same last word would all vote for themselves; jitter only lengthens, as the lease rests on this time.
-	state.electionDueAt = now + (settings.electionTimeoutMs * (2 + (state.jitter * FIRST_SPREAD)));
+	state.electionDueAt = now + (settings.electionTimeoutMs * (2 + (state.jitter * FIRST_ELECTION_SPREAD)));
 	return effects;
 };
--- a/packages/consensus/src/mutate-log.ts
+++ b/packages/consensus/src/mutate-log.ts
@@ -1,4 +1,4 @@
-import {getNextVoters} from './get-next-voters.js';
+import {getCurrentVoters} from './get-current-voters.js';
 import {getTermAt} from './get-term-at.js';
 import type {ConsensusEffect} from './consensus-effect.js';
 import type {ConsensusState} from './consensus-state.js';
@@ -15,7 +15,7 @@
 	const offset = added[0].index - state.snapshot.index - 1;
 	state.log.splice(offset, state.log.length - offset, ...added);
 	state.syncedIndex = Math.min(state.syncedIndex, added[0].index - 1);
-	const current = getNextVoters(state.snapshot, state.log);
+	const current = getCurrentVoters(state.snapshot, state.log);
 	state.voters = current.voters;
 	state.votersIndex = current.index;
 	return [{kind: 'persistEntries', entries: added}];
--- a/packages/consensus/src/mutate-snapshot-request.ts
+++ b/packages/consensus/src/mutate-snapshot-request.ts
@@ -1,5 +1,5 @@
 import {getLastIndex} from './get-last-index.js';
-import {getNextVoters} from './get-next-voters.js';
+import {getCurrentVoters} from './get-current-voters.js';
 import {getTermAt} from './get-term-at.js';
 import {mutateLeaderSeen} from './mutate-leader-seen.js';
 import {newAppendReply} from './new-append-reply.js';
@@ -29,7 +29,7 @@
 	state.commitIndex = request.index;
 	state.appliedIndex = request.index;
 	state.syncedIndex = Math.min(state.syncedIndex, getLastIndex(state));
-	const current = getNextVoters(state.snapshot, state.log);
+	const current = getCurrentVoters(state.snapshot, state.log);
 	state.voters = current.voters;
 	state.votersIndex = current.index;
 	return [
--- a/packages/consensus/src/mutate-tick.ts
+++ b/packages/consensus/src/mutate-tick.ts
@@ -12,12 +12,12 @@
 	}
 
 	// After a suspension the others have an election timeout to answer before the quorum counts as lost.
-	const hasResumed = now - state.confirmedFrom < settings.electionTimeoutMs;
+	const hasResumed = now - state.acksValidAfter < settings.electionTimeoutMs;
 	return state.transferTo === undefined && !hasResumed && getLeaseEnd(state, settings, now) + settings.electionTimeoutMs < now;
 };
 
 /** Gives up a hand-over that its target did not take. */
-const mutateTransferEnd = (state: ConsensusState, now: number): void => {
+const mutateTransferTimeout = (state: ConsensusState, now: number): void => {
 	if (state.transferTo !== undefined && now >= state.transferEndsAt) {
 		state.transferTo = undefined;
 		state.leaderSince = now;
@@ -31,7 +31,7 @@
 		return now >= state.electionDueAt ? mutateElection(state, settings, now, jitter) : [];
 	}
 
-	mutateTransferEnd(state, now);
+	mutateTransferTimeout(state, now);
 	if (isQuorumLost(state, settings, now)) {
 		state.electionDueAt = now + (settings.electionTimeoutMs * (1 + jitter));
 		return mutateFollower(state, 'quorumLost', state.term);
--- a/packages/consensus/src/mutate-vote-reply.ts
+++ b/packages/consensus/src/mutate-vote-reply.ts
@@ -22,8 +22,8 @@
 		return [];
 	}
 
-	state.granted.add(from);
-	if (!hasQuorum(state, state.granted)) {
+	state.grantedVotes.add(from);
+	if (!hasQuorum(state, state.grantedVotes)) {
 		return [];
 	}
 
--- a/packages/consensus/src/mutate-vote-request.ts
+++ b/packages/consensus/src/mutate-vote-request.ts
@@ -19,7 +19,7 @@
 };
 
 /** A voter that hears a leader, or is one, does not help to replace it; this is what makes the lease safe. */
-const isLeaderAlive = (state: ConsensusState, settings: ConsensusSettings, now: number): boolean => state.role === 'leader' || now - state.leaderContactAt < settings.electionTimeoutMs;
+const isLeaderReachable = (state: ConsensusState, settings: ConsensusSettings, now: number): boolean => state.role === 'leader' || now - state.leaderContactAt < settings.electionTimeoutMs;
 
 /** Answers a request for a vote. */
 export const mutateVoteRequest = (state: ConsensusState, settings: ConsensusSettings, now: number, from: string, request: VoteRequest): ConsensusEffect[] => {
@@ -33,7 +33,7 @@
 			isGranted,
 		},
 	});
-	if (request.term < state.term || (!request.isTransfer && isLeaderAlive(state, settings, now))) {
+	if (request.term < state.term || (!request.isTransfer && isLeaderReachable(state, settings, now))) {
 		return [newReply(false)];
 	}
 
@@ -42,8 +42,8 @@
 	}
 
 	const effects = request.term > state.term ? mutateFollower(state, 'higherTerm', request.term) : [];
-	const isFree = state.votedFor === undefined || state.votedFor === from;
-	const isGranted = isFree && isUpToDate(state, request);
+	const canVoteFor = state.votedFor === undefined || state.votedFor === from;
+	const isGranted = canVoteFor && isUpToDate(state, request);
 	if (isGranted && state.votedFor === undefined) {
 		state.votedFor = from;
 		state.electionDueAt = now + (settings.electionTimeoutMs * 2);
--- a/packages/consensus/src/new-consensus-state.ts
+++ b/packages/consensus/src/new-consensus-state.ts
@@ -1,16 +1,16 @@
-import {getNextVoters} from './get-next-voters.js';
+import {getCurrentVoters} from './get-current-voters.js';
 import type {ConsensusSettings} from './consensus-settings.js';
 import type {ConsensusState} from './consensus-state.js';
 import type {StoredLog} from './stored-log.js';
 
 /** The first election after a start falls due after so many election timeouts: no vote is granted in the first one. */
-const FIRST_DUE = 1.25;
+const FIRST_ELECTION_TIMEOUTS = 1.25;
 
 /**
  * Over which part of an election timeout the first elections of voters that start together are spread, so that they do not all vote for themselves:
  * after the death of all processes the mean time to a leader falls by a third.
  */
-const FIRST_SPREAD = 0.5;
+const FIRST_ELECTION_SPREAD = 0.5;
 
 /**
  * The state of a voter that starts from its stored log. It counts the start of its process as contact with a leader, so
@@ -21,7 +21,7 @@
  */
 export const newConsensusState = (stored: StoredLog, settings: ConsensusSettings, startedAt: number, jitter = 0): ConsensusState => {
 	const lastIndex = stored.entries.at(-1)?.index ?? stored.snapshot.index;
-	const current = getNextVoters(stored.snapshot, stored.entries);
+	const current = getCurrentVoters(stored.snapshot, stored.entries);
 	return {
 		selfId: stored.id,
 		role: 'follower',
@@ -36,12 +36,12 @@
 		syncedIndex: lastIndex,
 		leaderId: undefined,
 		leaderContactAt: startedAt,
-		electionDueAt: startedAt + (settings.electionTimeoutMs * (FIRST_DUE + (jitter * FIRST_SPREAD))),
+		electionDueAt: startedAt + (settings.electionTimeoutMs * (FIRST_ELECTION_TIMEOUTS + (jitter * FIRST_ELECTION_SPREAD))),
 		jitter: 0,
 		heartbeatDueAt: startedAt,
-		confirmedFrom: startedAt,
+		acksValidAfter: startedAt,
 		leaderSince: startedAt,
-		granted: new Set(),
+		grantedVotes: new Set(),
 		peers: new Map(),
 		proposals: new Map(),
 		transferTo: undefined,
--- a/packages/consensus/tests/fake-formation.ts
+++ b/packages/consensus/tests/fake-formation.ts
@@ -4,7 +4,7 @@
 type Poll = {
 	readonly id: string;
 	/** When each other VM is looked at; a VM that is down answers nothing. */
-	readonly lookAt: Map<number, number>;
+	readonly queryAt: Map<number, number>;
 	readonly found: FoundVoter[];
 	readonly endsAt: number;
 };
@@ -12,7 +12,7 @@
 const FORMATION_POLL_MS = 200;
 const CALL_TIMEOUT_MS = 1000;
 
-const getFound = (voter: FakeVoter, proposal: readonly string[]): FoundVoter => {
+const newDiscoveredVoter = (voter: FakeVoter, proposal: readonly string[]): FoundVoter => {
 	const {snapshot, voters} = voter.state;
 	const formation = snapshot.voters.length > 0 ? snapshot.voters : voters;
 	return {
@@ -43,7 +43,7 @@
 			} else if (poll?.id !== record.id) {
 				this.#polls.set(index, this.#newPoll(now, record.id, index, voters.length));
 			} else if (!isFrozen) {
-				this.#look(now, index, poll, voters, isReached);
+				this.#query(now, index, poll, voters, isReached);
 			}
 		}
 	}
@@ -54,19 +54,19 @@
 		const callMs = this.#random() < 0.5 ? FORMATION_POLL_MS : CALL_TIMEOUT_MS;
 		return {
 			id,
-			lookAt: new Map(others.map(other => [other, startsAt + (this.#random() * callMs)])),
+			queryAt: new Map(others.map(other => [other, startsAt + (this.#random() * callMs)])),
 			found: [],
 			endsAt: startsAt + callMs,
 		};
 	}
 
-	#look(now: number, index: number, poll: Poll, voters: readonly FakeVoter[], isReached: (from: number, to: number) => boolean): void {
-		for (const [other, at] of poll.lookAt) {
+	#query(now: number, index: number, poll: Poll, voters: readonly FakeVoter[], isReached: (from: number, to: number) => boolean): void {
+		for (const [other, at] of poll.queryAt) {
 			if (now >= at) {
-				poll.lookAt.delete(other);
+				poll.queryAt.delete(other);
 				const {isUp, isFrozen} = voters[other];
 				if (isUp && !isFrozen && isReached(index, other) && isReached(other, index)) {
-					poll.found.push(getFound(voters[other], this.#proposals.get(voters[other].record.id) ?? []));
+					poll.found.push(newDiscoveredVoter(voters[other], this.#proposals.get(voters[other].record.id) ?? []));
 				}
 			}
 		}
--- a/packages/consensus/tests/fake-quorum.ts
+++ b/packages/consensus/tests/fake-quorum.ts
@@ -4,7 +4,7 @@
 import {FakeVoter} from './fake-voter.js';
 import {QUORUM_SETTINGS} from './quorum-settings.js';
 import type {Mutation} from './mutation.js';
-import type {QuorumSite} from './quorum-site.js';
+import type {QuorumOptions} from './quorum-options.js';
 import {
 	type ConsensusMessage, type LogEntry, type Voter, getNextMembership,
 } from '@valelead/consensus';
@@ -22,13 +22,13 @@
 const SILENT_VOTER_MS = 2000;
 
 /** A VM that came back with an empty disk counts as lost until it has a vote, at most for this time without any fault. */
-const CATCH_UP_MS = 6000;
+const MAX_CATCH_UP_MS = 6000;
 
 /** Elections in a row whose votes are split; of eight voters with random timeouts, more are not to be seen. */
-const SPLIT_ELECTIONS = 6;
+const MAX_SPLIT_ELECTIONS = 6;
 
 /** The first voter stands within two election timeouts after it last heard a leader, and each split election costs at most as much. */
-const ELECTION_BOUND_MS = QUORUM_SETTINGS.electionTimeoutMs * 2 * (1 + SPLIT_ELECTIONS);
+const ELECTION_BOUND_MS = QUORUM_SETTINGS.electionTimeoutMs * 2 * (1 + MAX_SPLIT_ELECTIONS);
 
 /** A VM looks at the others within two calls that may time out after a second each, and their pauses. */
 const FORMATION_BOUND_MS = 2400;
@@ -52,25 +52,25 @@
 	now = 0;
 	readonly voters: FakeVoter[] = [];
 	readonly acknowledged = new Map<string, number>();
-	lossShare = 0;
-	duplicateShare = 0;
+	lossProbability = 0;
+	duplicateProbability = 0;
 	delayMs = 5;
 	readonly #mutation: Mutation;
 	readonly #random: () => number;
-	readonly #cuts = new Set<string>();
-	readonly #chosen = new Map<number, string>();
+	readonly #blockedLinks = new Set<string>();
+	readonly #appliedByIndex = new Map<number, string>();
 	readonly #leaders = new Map<number, string>();
 	#network: Envelope[] = [];
 	#nextId = 1;
-	readonly #site: QuorumSite;
+	readonly #options: QuorumOptions;
 	readonly #formation: FakeFormation;
 	/** For each VM, the time that it still counts as lost. */
 	readonly #lostMs: number[];
 
-	constructor(seed: number, mutation: Mutation, site: QuorumSite) {
+	constructor(seed: number, mutation: Mutation, site: QuorumOptions) {
 		this.#random = newRandom(seed);
 		this.#mutation = mutation;
-		this.#site = site;
+		this.#options = site;
 		this.#lostMs = Array.from({length: site.size}, () => 0);
 		this.#formation = new FakeFormation(this.#random, (index, voters) => {
 			this.#form(index, voters);
@@ -88,16 +88,16 @@
 		while (this.now < endsAt) {
 			this.now += STEP_MS;
 			for (const voter of this.voters) {
-				voter.take({kind: 'tick', jitter: this.#random()}, this.now);
+				voter.handle({kind: 'tick', jitter: this.#random()}, this.now);
 				if (!voter.isDiskSlow || this.#random() < 0.1) {
 					voter.sync(this.now);
 				}
 			}
 
-			this.#formation.advance(this.now, this.voters, (from, to) => !this.#cuts.has(`${from}>${to}`));
+			this.#formation.advance(this.now, this.voters, (from, to) => !this.#blockedLinks.has(`${from}>${to}`));
 			this.#deliver();
-			this.#keepMembership();
-			this.#passCatchUp();
+			this.#updateMembership();
+			this.#advanceCatchUp();
 			this.#check();
 		}
 	}
@@ -105,7 +105,7 @@
 	propose(index: number): void {
 		const proposalId = `p${this.#nextId}`;
 		this.#nextId += 1;
-		this.voters[index].take({kind: 'propose', proposalId, data: proposalId}, this.now);
+		this.voters[index].handle({kind: 'propose', proposalId, data: proposalId}, this.now);
 	}
 
 	/** The disk is gone: what was the voter comes back under a new identity that the quorum must let in. */
@@ -116,16 +116,16 @@
 		const record = isKept ? old.record : this.#newRecord(old.record.vm);
 		const formation = isKept ? this.voters.map(voter => voter.record) : [];
 		this.voters[index] = this.#newVoter(record, formation);
-		this.voters[index].isFormed = !this.#site.isForming;
+		this.voters[index].isFormed = !this.#options.isForming;
 	}
 
 	/** Disks that are lost at the same moment, as far as so many may be. Their VMs are down, and come back empty. */
-	lose(indexes: readonly number[]): void {
+	loseDisks(indexes: readonly number[]): void {
 		for (const index of indexes) {
-			if (this.#lostMs[index] > 0 || this.lostCount < this.#site.losses) {
+			if (this.#lostMs[index] > 0 || this.lostCount < this.#options.losses) {
 				this.wipe(index);
 				this.voters[index].crash();
-				this.#lostMs[index] = CATCH_UP_MS;
+				this.#lostMs[index] = MAX_CATCH_UP_MS;
 			}
 		}
 	}
@@ -159,14 +159,14 @@
 		}
 	}
 
-	cut(from: number, to: number): void {
-		this.#cuts.add(`${from}>${to}`);
+	blockLink(from: number, to: number): void {
+		this.#blockedLinks.add(`${from}>${to}`);
 	}
 
 	heal(): void {
-		this.#cuts.clear();
-		this.lossShare = 0;
-		this.duplicateShare = 0;
+		this.#blockedLinks.clear();
+		this.lossProbability = 0;
+		this.duplicateProbability = 0;
 		this.delayMs = 5;
 		for (const voter of this.voters) {
 			voter.isDiskSlow = false;
@@ -188,7 +188,7 @@
 	/** Heals everything and checks that all VMs are voters again and every acknowledged command is applied at every voter. */
 	settle(): void {
 		this.heal();
-		this.advance(this.#site.isForming ? FORMATION_BOUND_MS + ELECTION_BOUND_MS : ELECTION_BOUND_MS);
+		this.advance(this.#options.isForming ? FORMATION_BOUND_MS + ELECTION_BOUND_MS : ELECTION_BOUND_MS);
 		const index = this.leader?.state.commitIndex;
 		assert.ok(index !== undefined, 'a healed quorum has a leader');
 		this.advance(COMMIT_BOUND_MS);
@@ -198,13 +198,13 @@
 
 		const missing = this.voters.filter(({record}) => !this.#isVoter(record)).length;
 		this.advance((missing * JOIN_BOUND_MS) + COMMIT_BOUND_MS);
-		this.#checkWhole();
+		this.#checkRecovered();
 	}
 
 	/** Whether anything but the loss of disks hinders the quorum. */
 	get #isFaulty(): boolean {
 		const isHindered = this.voters.some((voter, index) => voter.isFrozen || voter.isDiskSlow || (!voter.isUp && this.#lostMs[index] === 0));
-		return isHindered || this.#cuts.size > 0 || this.lossShare > 0;
+		return isHindered || this.#blockedLinks.size > 0 || this.lossProbability > 0;
 	}
 
 	#form(index: number, voters: readonly Voter[]): void {
@@ -215,7 +215,7 @@
 		return this.leader?.state.voters.some(voter => voter.id === id && !voter.isLearner) ?? false;
 	}
 
-	#checkWhole(): void {
+	#checkRecovered(): void {
 		const {leader} = this;
 		assert.ok(leader, 'a quorum without faults keeps its leader');
 		const counted = leader.state.voters.map(({id, isLearner}) => isLearner ? `${id} (learner)` : id).sort();
@@ -226,7 +226,7 @@
 		}
 
 		for (const [proposalId, index] of this.acknowledged) {
-			assert.equal(this.#chosen.get(index), `command:${proposalId}`, `${proposalId} stays where it was acknowledged`);
+			assert.equal(this.#appliedByIndex.get(index), `command:${proposalId}`, `${proposalId} stays where it was acknowledged`);
 		}
 	}
 
@@ -271,11 +271,11 @@
 	}
 
 	#send(from: string, to: string, message: ConsensusMessage): void {
-		if (this.#random() < this.lossShare) {
+		if (this.#random() < this.lossProbability) {
 			return;
 		}
 
-		const copies = this.#random() < this.duplicateShare ? 2 : 1;
+		const copies = this.#random() < this.duplicateProbability ? 2 : 1;
 		for (let copy = 0; copy < copies; copy += 1) {
 			this.#network.push({
 				from, to, message, dueAt: this.now + (this.#random() * this.delayMs),
@@ -288,19 +288,19 @@
 		this.#network = this.#network.filter(envelope => envelope.dueAt > this.now);
 		for (const {from, to, message} of due) {
 			const target = this.voters[this.#getIndex(to)];
-			if (target && !this.#cuts.has(`${this.#getIndex(from)}>${this.#getIndex(to)}`)) {
-				target.take({kind: 'message', from, message}, this.now);
+			if (target && !this.#blockedLinks.has(`${this.#getIndex(from)}>${this.#getIndex(to)}`)) {
+				target.handle({kind: 'message', from, message}, this.now);
 			}
 		}
 	}
 
 	/** Each voter in turn asks to be let in where it has no vote, or may have none, and lets silent ones go where it leads, as the daemon does. */
-	#keepMembership(): void {
+	#updateMembership(): void {
 		for (const [index, voter] of this.voters.entries()) {
 			const isDue = (this.now + (index * JOIN_PHASE_MS)) % JOIN_POLL_MS < STEP_MS;
 			if (isDue && voter.isUp && !voter.isFrozen && voter.isFormed) {
 				this.#askToJoin(index);
-				this.#dropSilent(voter);
+				this.#removeSilentVoter(voter);
 			}
 		}
 	}
@@ -308,7 +308,7 @@
 	#askToJoin(index: number): void {
 		const {leader, leaderIndex} = this;
 		const {record} = this.voters[index];
-		if (!leader || !this.voters[index].isAskingToJoin(this.now) || this.#cuts.has(`${index}>${leaderIndex}`)) {
+		if (!leader || !this.voters[index].isAskingToJoin(this.now) || this.#blockedLinks.has(`${index}>${leaderIndex}`)) {
 			return;
 		}
 
@@ -316,26 +316,26 @@
 		this.#configure(leader, getNextMembership(leader.state.voters, record, isCaughtUp));
 	}
 
-	#dropSilent(voter: FakeVoter): void {
+	#removeSilentVoter(voter: FakeVoter): void {
 		if (voter.hasLease(this.now)) {
-			this.#configure(voter, voter.getReducedVoters(SILENT_VOTER_MS, (2 * this.#site.losses) + 1, this.now));
+			this.#configure(voter, voter.getReducedVoters(SILENT_VOTER_MS, (2 * this.#options.losses) + 1, this.now));
 		}
 	}
 
 	#configure(leader: FakeVoter, voters: readonly Voter[] | undefined): void {
 		if (voters) {
-			leader.take({kind: 'configure', proposalId: `c${this.now}`, voters}, this.now);
+			leader.handle({kind: 'configure', proposalId: `c${this.now}`, voters}, this.now);
 		}
 	}
 
 	#restartCatchUp(): void {
 		for (const [index, ms] of this.#lostMs.entries()) {
-			this.#lostMs[index] = ms > 0 ? CATCH_UP_MS : 0;
+			this.#lostMs[index] = ms > 0 ? MAX_CATCH_UP_MS : 0;
 		}
 	}
 
 	/** With any fault, such as messages lost, what a joiner needs has no bound: its time begins anew. */
-	#passCatchUp(): void {
+	#advanceCatchUp(): void {
 		const {leader} = this;
 		const isFaulty = this.#isFaulty;
 		for (const [index, voter] of this.voters.entries()) {
@@ -344,28 +344,28 @@
 			}
 
 			const isIn = leader !== undefined && leader.state.votersIndex <= leader.state.commitIndex && this.#isVoter(voter.record);
-			const leftMs = isFaulty ? CATCH_UP_MS : Math.max(0, this.#lostMs[index] - STEP_MS);
+			const leftMs = isFaulty ? MAX_CATCH_UP_MS : Math.max(0, this.#lostMs[index] - STEP_MS);
 			this.#lostMs[index] = isIn ? 0 : leftMs;
 		}
 	}
 
 	#checkApplied(id: string, entry: LogEntry): void {
 		const value = `${entry.kind}:${entry.data}`;
-		const chosen = this.#chosen.get(entry.index);
-		assert.ok(chosen === undefined || chosen === value, `${id} applies ${value} at ${entry.index}, another applied ${chosen}`);
-		this.#chosen.set(entry.index, value);
+		const applied = this.#appliedByIndex.get(entry.index);
+		assert.ok(applied === undefined || applied === value, `${id} applies ${value} at ${entry.index}, another applied ${applied}`);
+		this.#appliedByIndex.set(entry.index, value);
 	}
 
 	#check(): void {
-		const holders = this.voters.filter(voter => voter.hasLease(this.now));
-		assert.ok(holders.length <= 1, `${holders.map(voter => voter.record.id).join(' and ')} hold a lease at ${this.now}`);
+		const leaseHolders = this.voters.filter(voter => voter.hasLease(this.now));
+		assert.ok(leaseHolders.length <= 1, `${leaseHolders.map(voter => voter.record.id).join(' and ')} hold a lease at ${this.now}`);
 		for (const voter of this.voters.filter(candidate => candidate.isUp && candidate.state.role === 'leader')) {
 			const known = this.#leaders.get(voter.state.term);
 			assert.ok(known === undefined || known === voter.record.id, `term ${voter.state.term} has two leaders`);
 			this.#leaders.set(voter.state.term, voter.record.id);
 		}
 
-		const [holder] = holders;
+		const [holder] = leaseHolders;
 		if (!holder) {
 			return;
 		}
--- a/packages/consensus/tests/fake-voter.ts
+++ b/packages/consensus/tests/fake-voter.ts
@@ -26,7 +26,7 @@
 	/** Highest index applied since the last start or restore. */
 	applied: LogEntry[] = [];
 	/** Time that the voter's clock has missed in suspensions, and since when it is suspended. */
-	#lostMs = 0;
+	#missedMs = 0;
 	#suspendedAt: number | undefined;
 	readonly #events: VoterEvents;
 	readonly #mutation: Mutation;
@@ -41,7 +41,7 @@
 		this.state = newConsensusState(stored, QUORUM_SETTINGS, now);
 	}
 
-	take(event: ConsensusEvent, now: number): void {
+	handle(event: ConsensusEvent, now: number): void {
 		if (!this.isUp || !this.isFormed) {
 			return;
 		}
@@ -54,7 +54,7 @@
 			return;
 		}
 
-		this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, this.#mutate(event), this.#toOwn(now)));
+		this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, this.#mutate(event), this.#toLocalTime(now)));
 		if (this.#mutation === 'send before sync') {
 			this.#sendUnsynced();
 		}
@@ -72,12 +72,12 @@
 			const persisted = batch.filter(effect => isPersistEffect(effect));
 			this.disk.sync(this.#mutation === 'forget votes' ? persisted.filter(effect => effect.kind !== 'persistHardState') : persisted);
 			for (const effect of batch) {
-				this.#carryOut(effect);
+				this.#execute(effect);
 			}
 
 			const last = persisted.flatMap(effect => effect.kind === 'persistHardState' ? [] : effect.entries).at(-1);
 			if (last) {
-				this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, {kind: 'synced', index: last.index, term: last.term}, this.#toOwn(now)));
+				this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, {kind: 'synced', index: last.index, term: last.term}, this.#toLocalTime(now)));
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 	restart(now: number, jitter = 0): void {
 		this.isUp = true;
 		this.applied = [];
-		this.state = newConsensusState(this.disk.load(), QUORUM_SETTINGS, this.#toOwn(now), jitter);
+		this.state = newConsensusState(this.disk.load(), QUORUM_SETTINGS, this.#toLocalTime(now), jitter);
 		if (this.#mutation === 'forget lease') {
 			this.state.leaderContactAt = Number.NEGATIVE_INFINITY;
 		}
@@ -115,26 +115,26 @@
 		const inbox = this.#inbox;
 		this.#inbox = [];
 		for (const event of inbox) {
-			this.take(event, now);
+			this.handle(event, now);
 		}
 	}
 
 	isAskingToJoin(now: number): boolean {
-		return isAskingToJoin(this.state, QUORUM_SETTINGS, this.#toOwn(now));
+		return isAskingToJoin(this.state, QUORUM_SETTINGS, this.#toLocalTime(now));
 	}
 
 	hasLease(now: number): boolean {
 		const entry = this.state.log[this.state.commitIndex - this.state.snapshot.index - 1];
 		const hasOwnCommit = (entry?.term ?? this.state.snapshot.term) === this.state.term;
-		return this.isUp && !this.isFrozen && hasOwnCommit && this.#toOwn(now) < getLeaseEnd(this.state, QUORUM_SETTINGS, this.#toOwn(now));
+		return this.isUp && !this.isFrozen && hasOwnCommit && this.#toLocalTime(now) < getLeaseEnd(this.state, QUORUM_SETTINGS, this.#toLocalTime(now));
 	}
 
 	getReducedVoters(silenceMs: number, leastVoters: number, now: number): readonly Voter[] | undefined {
-		return getReducedVoters(this.state, silenceMs, this.#toOwn(now), leastVoters);
+		return getReducedVoters(this.state, silenceMs, this.#toLocalTime(now), leastVoters);
 	}
 
-	#toOwn(now: number): number {
-		return now - this.#lostMs;
+	#toLocalTime(now: number): number {
+		return now - this.#missedMs;
 	}
 
 	#resume(now: number): void {
@@ -142,10 +142,10 @@
 			return;
 		}
 
-		this.#lostMs += now - this.#suspendedAt;
+		this.#missedMs += now - this.#suspendedAt;
 		this.#suspendedAt = undefined;
 		if (this.#mutation !== 'ignore suspension') {
-			this.take({kind: 'resumed'}, now);
+			this.handle({kind: 'resumed'}, now);
 		}
 	}
 
@@ -162,11 +162,11 @@
 		const sends = this.#unsynced.filter(effect => effect.kind === 'send');
 		this.#unsynced = this.#unsynced.filter(effect => effect.kind !== 'send');
 		for (const effect of sends) {
-			this.#carryOut(effect);
+			this.#execute(effect);
 		}
 	}
 
-	#carryOut(effect: ConsensusEffect): void {
+	#execute(effect: ConsensusEffect): void {
 		switch (effect.kind) {
 			case 'send': {
 				this.#events.onSend(this.record.id, effect.to, effect.message);
--- a/packages/consensus/tests/fault-commands.ts
+++ b/packages/consensus/tests/fault-commands.ts
@@ -55,17 +55,17 @@
 			quorum.voters[voter].isDiskSlow = true;
 		})),
 		fc.tuple(anyVoter, anyVoter).map(([from, to]) => newQuorumCommand(`cut ${from} to ${to}`, quorum => {
-			quorum.cut(from, to);
+			quorum.blockLink(from, to);
 		})),
 		anyVoter.map(voter => newQuorumCommand(`isolate ${voter}`, quorum => {
 			for (let other = 0; other < size; other += 1) {
-				quorum.cut(voter, other);
-				quorum.cut(other, voter);
+				quorum.blockLink(voter, other);
+				quorum.blockLink(other, voter);
 			}
 		})),
 		fc.tuple(anyVoter, anyVoter).map(([left, right]) => newQuorumCommand(`part ${left} and ${right}`, quorum => {
-			quorum.cut(left, right);
-			quorum.cut(right, left);
+			quorum.blockLink(left, right);
+			quorum.blockLink(right, left);
 			quorum.advance(1000);
 		})),
 		anyVoter.map(voter => newQuorumCommand(`power loss right after a write, ${voter} first`, quorum => {
@@ -87,8 +87,8 @@
 				return;
 			}
 
-			quorum.cut(leader, voter);
-			quorum.cut(voter, leader);
+			quorum.blockLink(leader, voter);
+			quorum.blockLink(voter, leader);
 			quorum.advance(700);
 			const other = quorum.voters.findIndex((_, index) => index !== leader && index !== voter);
 			for (let restarts = 0; restarts < 20; restarts += 1) {
@@ -102,17 +102,17 @@
 			quorum.advance(50);
 		})),
 		fc.constant(newQuorumCommand('lossy network', quorum => {
-			quorum.lossShare = 0.2;
-			quorum.duplicateShare = 0.2;
+			quorum.lossProbability = 0.2;
+			quorum.duplicateProbability = 0.2;
 			quorum.delayMs = 150;
 		})),
 		anyVoter.map(voter => newQuorumCommand(`hand over to ${voter}`, quorum => {
 			const target = quorum.voters[voter].record.id;
-			quorum.leader?.take({kind: 'transfer', to: target}, quorum.now);
+			quorum.leader?.handle({kind: 'transfer', to: target}, quorum.now);
 		})),
 		anyVoter.map(voter => newQuorumCommand(`compact ${voter}`, quorum => {
 			const {state} = quorum.voters[voter];
-			quorum.voters[voter].take({kind: 'compact', index: state.appliedIndex, data: 'state'}, quorum.now);
+			quorum.voters[voter].handle({kind: 'compact', index: state.appliedIndex, data: 'state'}, quorum.now);
 		})),
 	];
 };
--- a/packages/consensus/tests/get-borne-sets.ts
+++ b/packages/consensus/tests/get-tolerated-sets.ts
@@ -1,6 +1,6 @@
 import type {Voter} from '@valelead/consensus';
 
-type BorneSets = {
+type ToleratedSets = {
 	/** The most further members that may be lost, whichever they are, while a majority of the votes is left. */
 	readonly losses: number;
 	/** The sets of further lost members, of all sets, that leave a majority of the votes. */
@@ -12,12 +12,12 @@
 const isIn = (mask: number, position: number): boolean => Math.floor(mask / (2 ** position)) % 2 === 1;
 
 /** Tries every set of further lost members, where those on dead machines are lost already. */
-export const getBorneSets = (members: readonly Voter[], dead: ReadonlySet<string>): BorneSets => {
+export const getToleratedSets = (members: readonly Voter[], dead: ReadonlySet<string>): ToleratedSets => {
 	const live = members.filter(({id}) => !dead.has(id));
 	const needed = Math.floor(members.filter(({isLearner}) => !isLearner).length / 2) + 1;
 	const masks = Array.from({length: 2 ** live.length}, (_, mask) => mask);
-	const isLed = (mask: number): boolean => live.filter(({isLearner}, position) => !isLearner && !isIn(mask, position)).length >= needed;
-	const fatal = masks.filter(mask => !isLed(mask));
+	const hasMajority = (mask: number): boolean => live.filter(({isLearner}, position) => !isLearner && !isIn(mask, position)).length >= needed;
+	const fatal = masks.filter(mask => !hasMajority(mask));
 	const fewest = Math.min(...fatal.map(mask => countBits(mask)));
 	return {losses: fewest - 1, sets: masks.length - fatal.length};
 };
--- a/packages/consensus/tests/hand-over.steps.ts
+++ b/packages/consensus/tests/hand-over.steps.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
-import {setImmediate as turn} from 'node:timers/promises';
+import {setImmediate as nextEventLoopIteration} from 'node:timers/promises';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {newVirtualTimers} from '../../../tests/support/new-virtual-timers.js';
 import {VirtualTime} from '../../../tests/support/virtual-time.js';
 import {QUORUM_SETTINGS} from './quorum-settings.js';
 import {type ConsensusMessage, type Voter, ConsensusNode} from '@valelead/consensus';
 
-type HandOverWorld = {
+type TransferWorld = {
 	time: VirtualTime;
 	node: ConsensusNode;
-	gone: readonly string[];
+	unreachable: readonly string[];
 	/** Who was asked to take over. */
 	asked: string;
 };
@@ -22,7 +22,7 @@
 });
 
 /** What a voter answers that agrees to everything. */
-const getAnswer = (message: ConsensusMessage): ConsensusMessage | undefined => {
+const newReply = (message: ConsensusMessage): ConsensusMessage | undefined => {
 	switch (message.kind) {
 		case 'voteRequest': {
 			return {
@@ -45,26 +45,26 @@
 const advance = async (time: VirtualTime, ms: number): Promise<void> => {
 	for (let passed = 0; passed < ms; passed += STEP_MS) {
 		time.advance(STEP_MS);
-		await turn();
+		await nextEventLoopIteration();
 	}
 };
 
-const send = (world: HandOverWorld, to: string, message: ConsensusMessage): void => {
+const send = (world: TransferWorld, to: string, message: ConsensusMessage): void => {
 	if (message.kind === 'timeoutNow') {
 		world.asked = to;
 	}
 
-	const answer = getAnswer(message);
-	if (answer && !world.gone.includes(to)) {
+	const answer = newReply(message);
+	if (answer && !world.unreachable.includes(to)) {
 		world.time.after(1, () => {
 			world.node.receive({id: to, address: to}, answer);
 		});
 	}
 };
 
-Given('a leader {string} with voters {string}, all of which have followed as far', async function (this: HandOverWorld, leader: string, others: string) {
+Given('a leader {string} with voters {string}, all of which have followed as far', async function (this: TransferWorld, leader: string, others: string) {
 	this.time = new VirtualTime();
-	this.gone = [];
+	this.unreachable = [];
 	this.asked = 'nobody';
 	const voters = [leader, ...others.split(' ')].map(id => newVoter(id));
 	this.node = new ConsensusNode({
@@ -101,8 +101,8 @@
 	assert.ok(this.node.isCurrentLeader);
 });
 
-When('{string} are gone for {int} ms and the leader hands over', async function (this: HandOverWorld, gone: string, ms: number) {
-	this.gone = gone.split(' ');
+When('{string} are gone for {int} ms and the leader hands over', async function (this: TransferWorld, gone: string, ms: number) {
+	this.unreachable = gone.split(' ');
 	await advance(this.time, ms);
 	assert.ok(this.node.isLeader);
 	this.node.transfer();
@@ -110,6 +110,6 @@
 	await this.node.stop();
 });
 
-Then('the voter that is asked to take over is {string}', function (this: HandOverWorld, asked: string) {
+Then('the voter that is asked to take over is {string}', function (this: TransferWorld, asked: string) {
 	assert.equal(this.asked, asked);
 });
--- a/packages/consensus/tests/loss-commands.ts
+++ b/packages/consensus/tests/loss-commands.ts
@@ -2,13 +2,13 @@
 import {newQuorumCommand} from './new-quorum-command.js';
 import type {FakeQuorum} from './fake-quorum.js';
 import type {QuorumCommand} from './quorum-command.js';
-import type {QuorumSite} from './quorum-site.js';
+import type {QuorumOptions} from './quorum-options.js';
 
 const CATCH_UP_MS = 6500;
 const STEP_MS = 10;
 
 /** Lets all come back and waits for so many changes of voters, with a command after each, in which joiners are let in. */
-const mutateUntilChanged = (quorum: FakeQuorum, changes: number): void => {
+const mutateUntilVotersChanged = (quorum: FakeQuorum, changes: number): void => {
 	quorum.restart(true);
 	let index = quorum.leader?.state.votersIndex;
 	let left = changes;
@@ -24,16 +24,16 @@
 };
 
 /** Losses of as many disks as may be lost at once, and the return of their VMs, at any moment. */
-export const newLossCommands = ({size, losses}: QuorumSite): ReadonlyArray<fc.Arbitrary<QuorumCommand>> => {
+export const newLossCommands = ({size, losses}: QuorumOptions): ReadonlyArray<fc.Arbitrary<QuorumCommand>> => {
 	const anyVoters = fc.uniqueArray(fc.nat({max: size - 1}), {minLength: losses, maxLength: losses});
 	const soon = fc.integer({min: 0, max: 100});
 	const later = fc.integer({min: 0, max: 3000});
 	return [
 		anyVoters.map(voters => newQuorumCommand(`lose ${voters.join(' and ')}`, quorum => {
-			quorum.lose(voters);
+			quorum.loseDisks(voters);
 		})),
 		fc.tuple(anyVoters, later).map(([voters, ms]) => newQuorumCommand(`lose ${voters.join(' and ')}, all others their power for ${ms}`, quorum => {
-			quorum.lose(voters);
+			quorum.loseDisks(voters);
 			quorum.losePower();
 			quorum.advance(ms);
 			quorum.restart(false);
@@ -42,11 +42,11 @@
 			const leader = Math.max(0, quorum.leaderIndex);
 			quorum.propose(leader);
 			quorum.advance(ms);
-			quorum.lose([leader, ...voters]);
+			quorum.loseDisks([leader, ...voters]);
 		})),
 		fc.tuple(anyVoters, later).map(([voters, ms]) => newQuorumCommand(`lose ${voters.join(' and ')} one by one, ${ms} between`, quorum => {
 			for (const voter of voters) {
-				quorum.lose([voter]);
+				quorum.loseDisks([voter]);
 				quorum.advance(ms);
 			}
 		})),
@@ -57,7 +57,7 @@
 		fc.tuple(fc.nat({max: size - 1}), later).map(([voter, ms]) => newQuorumCommand(`all come back, ${ms} pass, lose ${voter}`, quorum => {
 			quorum.restart(true);
 			quorum.advance(ms);
-			quorum.lose([voter]);
+			quorum.loseDisks([voter]);
 		})),
 		later.map(ms => newQuorumCommand(`all come back, ${ms} pass, the leader restarts`, quorum => {
 			quorum.restart(true);
@@ -76,7 +76,7 @@
 			for (const voters of rounds) {
 				quorum.propose(Math.max(0, quorum.leaderIndex));
 				quorum.advance(20);
-				quorum.lose(voters);
+				quorum.loseDisks(voters);
 				quorum.restart(true);
 				for (let ms = 0; ms < CATCH_UP_MS && quorum.lostCount > 0; ms += STEP_MS) {
 					quorum.advance(STEP_MS);
@@ -84,35 +84,35 @@
 			}
 		})),
 		fc.tuple(fc.integer({min: 1, max: 5}), soon, anyVoters).map(([changes, ms, voters]) => newQuorumCommand(`lose ${voters.join(' and ')} ${ms} after ${changes} changes of voters`, quorum => {
-			mutateUntilChanged(quorum, changes);
+			mutateUntilVotersChanged(quorum, changes);
 			quorum.advance(ms);
-			quorum.lose(voters);
+			quorum.loseDisks(voters);
 		})),
 		fc.tuple(fc.integer({min: 1, max: 5}), soon).map(([changes, ms]) => newQuorumCommand(`lose the leader ${ms} after ${changes} changes of voters`, quorum => {
-			mutateUntilChanged(quorum, changes);
+			mutateUntilVotersChanged(quorum, changes);
 			quorum.advance(ms);
-			quorum.lose([Math.max(0, quorum.leaderIndex)]);
+			quorum.loseDisks([Math.max(0, quorum.leaderIndex)]);
 		})),
 		fc.tuple(fc.integer({min: 1, max: 5}), soon, anyVoters).map(([changes, ms, voters]) => newQuorumCommand(`all lose power, ${voters.join('+')} disks, ${ms} after ${changes} changes`, quorum => {
-			mutateUntilChanged(quorum, changes);
+			mutateUntilVotersChanged(quorum, changes);
 			quorum.advance(ms);
-			quorum.lose(voters);
+			quorum.loseDisks(voters);
 			quorum.losePower();
 			quorum.restart(false);
 		})),
 		fc.tuple(fc.integer({min: 1, max: 5}), soon, fc.nat({max: size - 1})).map(([changes, ms, voter]) => newQuorumCommand(`cut the leader from ${voter} ${ms} after ${changes} changes`, quorum => {
-			mutateUntilChanged(quorum, changes);
+			mutateUntilVotersChanged(quorum, changes);
 			quorum.advance(ms);
 			const leader = Math.max(0, quorum.leaderIndex);
-			quorum.cut(leader, voter);
-			quorum.cut(voter, leader);
+			quorum.blockLink(leader, voter);
+			quorum.blockLink(voter, leader);
 		})),
 		anyVoters.map(voters => newQuorumCommand(`heal, catch up, lose ${voters.join(' and ')}`, quorum => {
 			quorum.heal();
 			quorum.advance(CATCH_UP_MS);
 			quorum.propose(Math.max(0, quorum.leaderIndex));
 			quorum.advance(20);
-			quorum.lose(voters);
+			quorum.loseDisks(voters);
 		})),
 	];
 };
--- a/packages/consensus/tests/losses.steps.ts
+++ b/packages/consensus/tests/losses.steps.ts
@@ -4,7 +4,7 @@
 
 type LossWorld = {
 	quorum: FakeQuorum;
-	cutOff: number;
+	isolated: number;
 };
 
 const START_MS = 1000;
@@ -12,12 +12,12 @@
 const SUSPENDED = 2;
 
 /** The answers to what the voter sent last are on their way for so long. */
-const ANSWER_MS = 50;
+const REPLY_MS = 50;
 
 const mutateIsolated = (quorum: FakeQuorum, isolated: number): void => {
 	for (const index of quorum.voters.keys()) {
-		quorum.cut(isolated, index);
-		quorum.cut(index, isolated);
+		quorum.blockLink(isolated, index);
+		quorum.blockLink(index, isolated);
 	}
 };
 
@@ -28,13 +28,13 @@
 
 When('a follower is cut off for {int} ms', function (this: LossWorld, ms: number) {
 	const {quorum} = this;
-	this.cutOff = (quorum.leaderIndex + 1) % quorum.voters.length;
-	mutateIsolated(quorum, this.cutOff);
+	this.isolated = (quorum.leaderIndex + 1) % quorum.voters.length;
+	mutateIsolated(quorum, this.isolated);
 	quorum.advance(ms);
 });
 
 Then('it is let go', function (this: LossWorld) {
-	const {id} = this.quorum.voters[this.cutOff].record;
+	const {id} = this.quorum.voters[this.isolated].record;
 	const counted = this.quorum.leader?.state.voters.map(voter => voter.id);
 	assert.equal(counted?.includes(id), false);
 });
@@ -48,7 +48,7 @@
 		const quorum = new FakeQuorum(seed, 'none', {size, losses: (size - 1) / 2});
 		quorum.advance(START_MS);
 		quorum.voters[SUSPENDED].suspend(quorum.now);
-		quorum.advance(ANSWER_MS);
+		quorum.advance(REPLY_MS);
 		mutateIsolated(quorum, SUSPENDED);
 		quorum.advance(ms);
 		quorum.heal();
@@ -59,7 +59,7 @@
 	for (let seed = 0; seed < count; seed += 1) {
 		const quorum = new FakeQuorum(seed, 'none', {size, losses, isForming: true});
 		quorum.advance(ms * (seed + 1) / count);
-		quorum.lose(Array.from({length: losses}, (_, index) => index));
+		quorum.loseDisks(Array.from({length: losses}, (_, index) => index));
 		quorum.settle();
 	}
 });
@@ -71,7 +71,7 @@
 When('disks {int} and {int} are lost after {int} ms and their VMs come back at once', function (this: LossWorld, first: number, second: number, ms: number) {
 	const {quorum} = this;
 	quorum.advance(ms);
-	quorum.lose([first, second]);
+	quorum.loseDisks([first, second]);
 	quorum.voters[second].isDiskSlow = true;
 	quorum.restart(true);
 });
@@ -87,14 +87,14 @@
 When('disk {int} is lost after {int} ms, and disk {int} after {int} ms more', function (this: LossWorld, first: number, firstMs: number, second: number, secondMs: number) {
 	const {quorum} = this;
 	quorum.advance(firstMs);
-	quorum.lose([first]);
+	quorum.loseDisks([first]);
 	quorum.advance(secondMs);
-	quorum.lose([second, first]);
+	quorum.loseDisks([second, first]);
 });
 
 When('disk {int} is lost after {int} ms and its VM comes back {int} ms later', function (this: LossWorld, index: number, lostMs: number, downMs: number) {
 	this.quorum.advance(lostMs);
-	this.quorum.lose([index]);
+	this.quorum.loseDisks([index]);
 	this.quorum.advance(downMs);
 	this.quorum.restart(true);
 });
@@ -105,7 +105,7 @@
 		quorum.advance(STEP_MS);
 	}
 
-	quorum.lose([quorum.voters.findIndex(voter => voter.state.voters.length > 0)]);
+	quorum.loseDisks([quorum.voters.findIndex(voter => voter.state.voters.length > 0)]);
 });
 
 When('the first leader acknowledges a command, loses its disk, and its VM comes back at once', function (this: LossWorld) {
@@ -118,6 +118,6 @@
 	quorum.propose(leader);
 	quorum.advance(2 * STEP_MS);
 	assert.equal(quorum.acknowledged.size, 1);
-	quorum.lose([leader]);
+	quorum.loseDisks([leader]);
 	quorum.restart(true);
 });
--- a/packages/consensus/tests/membership.steps.ts
+++ b/packages/consensus/tests/membership.steps.ts
@@ -2,7 +2,7 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {newRandom} from '../../../tests/support/new-random.js';
 import {FakeQuorum} from './fake-quorum.js';
-import {getBorneSets} from './get-borne-sets.js';
+import {getToleratedSets} from './get-tolerated-sets.js';
 import {QUORUM_SETTINGS} from './quorum-settings.js';
 import {
 	type ConsensusState, type Voter, getBorneLosses, getLeastVoters, getNextMembership, getReducedVoters, isGrowing, mutateConsensus,
@@ -19,7 +19,7 @@
 const FORM_MS = 1500;
 const SILENT_MS = 2000;
 const ENTRY_MS = 50;
-const MOST_ENTRIES = 5;
+const MAX_ENTRIES = 5;
 const LONG_MS = 5000;
 const GROWTH_MS = 2000;
 
@@ -31,13 +31,13 @@
 };
 
 /** As leader, lets the voter go that is down, and sometimes forgets the entries that it has not got. */
-const letGo = (quorum: FakeQuorum, gone: string, isCompacted: boolean): void => {
+const removeVoter = (quorum: FakeQuorum, gone: string, isCompacted: boolean): void => {
 	const {state} = quorum.leader!;
-	quorum.leader!.take({kind: 'configure', proposalId: 'let go', voters: state.voters.filter(voter => voter.id !== gone)}, quorum.now);
+	quorum.leader!.handle({kind: 'configure', proposalId: 'let go', voters: state.voters.filter(voter => voter.id !== gone)}, quorum.now);
 	quorum.advance(ENTRY_MS);
 	assert.ok(state.voters.every(voter => voter.id !== gone));
 	if (isCompacted) {
-		quorum.leader!.take({kind: 'compact', index: state.appliedIndex, data: 'state'}, quorum.now);
+		quorum.leader!.handle({kind: 'compact', index: state.appliedIndex, data: 'state'}, quorum.now);
 	}
 };
 
@@ -45,7 +45,7 @@
 	const random = newRandom(seed);
 	const quorum = new FakeQuorum(seed, 'none', {size, losses: getBorneLosses(size)});
 	quorum.advance(FORM_MS);
-	proposeSome(quorum, Math.floor(random() * MOST_ENTRIES));
+	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	const position = (quorum.leaderIndex + 1 + Math.floor(random() * (size - 1))) % size;
 	const gone = quorum.voters[position];
 	// An entry may still be on its way to it, so that its log is longer than what is committed, or shorter.
@@ -53,14 +53,14 @@
 	quorum.propose(quorum.leaderIndex);
 	quorum.advance(10);
 	gone.crash();
-	proposeSome(quorum, Math.floor(random() * MOST_ENTRIES));
+	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	quorum.advance(SILENT_MS);
-	letGo(quorum, gone.record.id, random() < 0.5);
-	proposeSome(quorum, Math.floor(random() * MOST_ENTRIES));
+	removeVoter(quorum, gone.record.id, random() < 0.5);
+	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	gone.restart(quorum.now);
-	quorum.lossShare = 0.2;
+	quorum.lossProbability = 0.2;
 	quorum.delayMs = 50;
-	proposeSome(quorum, MOST_ENTRIES);
+	proposeSome(quorum, MAX_ENTRIES);
 	quorum.settle();
 	assert.ok(quorum.leader!.state.voters.some(voter => voter.id === gone.record.id && !voter.isLearner), `seed ${seed}: it votes again under its id`);
 };
@@ -86,7 +86,7 @@
 	assert.ok(this.state.voters.some(({id}) => id === learner.id));
 });
 
-const getLetGo = ({state, joinedAt}: MembershipWorld, laterMs: number, silenceMs: number): string[] => {
+const getRemovedIds = ({state, joinedAt}: MembershipWorld, laterMs: number, silenceMs: number): string[] => {
 	const now = joinedAt + laterMs;
 	for (const [id, progress] of state.peers) {
 		progress.ackedSentAt = id === 'learner' ? progress.ackedSentAt : now;
@@ -97,11 +97,11 @@
 };
 
 Then('{int} ms later nobody is let go as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
-	assert.deepEqual(getLetGo(this, laterMs, silenceMs), []);
+	assert.deepEqual(getRemovedIds(this, laterMs, silenceMs), []);
 });
 
 Then('{int} ms later the learner is let go as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
-	assert.deepEqual(getLetGo(this, laterMs, silenceMs), ['learner']);
+	assert.deepEqual(getRemovedIds(this, laterMs, silenceMs), ['learner']);
 });
 
 const newMember = (vm: string, generation: string): Voter => ({
@@ -111,7 +111,7 @@
 type NextStep = typeof getNextMembership;
 
 /** The order that is not in use: the new identity votes before the old one leaves. */
-const getVotesFirst: NextStep = (voters, wished) => {
+const getNextWithEarlyVote: NextStep = (voters, wished) => {
 	const known = voters.find(({id}) => id === wished.id);
 	if (!known) {
 		return [...voters, {...wished, isLearner: true}];
@@ -140,12 +140,12 @@
 	return steps;
 };
 
-const getBorneAfter = (world: MembershipWorld, getNext: NextStep): Array<ReturnType<typeof getBorneSets>> => {
+const getToleratedAfterEachStep = (world: MembershipWorld, getNext: NextStep): Array<ReturnType<typeof getToleratedSets>> => {
 	const dead = new Set(world.voters.slice(0, world.lost).map(({id}) => id));
-	return getSteps(world, getNext).map(members => getBorneSets(members, dead));
+	return getSteps(world, getNext).map(members => getToleratedSets(members, dead));
 };
 
-const getText = (borne: ReturnType<typeof getBorneAfter>): string => borne.map(({losses, sets}) => `${losses}:${sets}`).join(' ');
+const getText = (borne: ReturnType<typeof getToleratedAfterEachStep>): string => borne.map(({losses, sets}) => `${losses}:${sets}`).join(' ');
 
 Given('{int} voters of which {int} have lost their disks at once', function (this: MembershipWorld, count: number, lost: number) {
 	this.voters = Array.from({length: count}, (_, index) => newMember(`vm-${index}`, ''));
@@ -153,13 +153,13 @@
 });
 
 Then('these losses are borne after each step if the old one leaves first {string}, if the new one votes first {string}', function (this: MembershipWorld, leavesFirst: string, votesFirst: string) {
-	assert.equal(getText(getBorneAfter(this, getNextMembership)), leavesFirst);
-	assert.equal(getText(getBorneAfter(this, getVotesFirst)), votesFirst);
+	assert.equal(getText(getToleratedAfterEachStep(this, getNextMembership)), leavesFirst);
+	assert.equal(getText(getToleratedAfterEachStep(this, getNextWithEarlyVote)), votesFirst);
 });
 
 Then('the order in use is the one where the old one leaves first, and bears at least as much after each step', function (this: MembershipWorld) {
-	const used = getBorneAfter(this, getNextMembership);
-	const other = getBorneAfter(this, getVotesFirst);
+	const used = getToleratedAfterEachStep(this, getNextMembership);
+	const other = getToleratedAfterEachStep(this, getNextWithEarlyVote);
 	assert.equal(used.length, other.length);
 	for (const [step, {losses, sets}] of used.entries()) {
 		assert.ok(losses >= other[step].losses && sets >= other[step].sets, `after step ${step}`);
@@ -170,7 +170,7 @@
 	for (let losses = 1; losses <= most; losses += 1) {
 		for (let count = 1; count <= (2 * losses) + 1; count += 1) {
 			const voters = Array.from({length: count}, (_, index) => newMember(`vm-${index}`, ''));
-			assert.equal(getBorneSets(voters, new Set()).losses >= losses, count > 2 * losses, `${count} voters, ${losses} losses`);
+			assert.equal(getToleratedSets(voters, new Set()).losses >= losses, count > 2 * losses, `${count} voters, ${losses} losses`);
 		}
 	}
 });
--- a/packages/consensus/tests/new-loss-fuzz.ts
+++ b/packages/consensus/tests/new-loss-fuzz.ts
@@ -5,10 +5,10 @@
 import {newFaultCommands} from './fault-commands.js';
 import {newLossCommands} from './loss-commands.js';
 import type {Mutation} from './mutation.js';
-import type {QuorumSite} from './quorum-site.js';
+import type {QuorumOptions} from './quorum-options.js';
 
 /** Fuzzes a quorum that loses as many disks at once as it must bear. With too few voters, one is left where a majority is needed. */
-export const newLossFuzz = (site: QuorumSite) => (options: FuzzOptions<Mutation>): FuzzResult => {
+export const newLossFuzz = (site: QuorumOptions) => (options: FuzzOptions<Mutation>): FuzzResult => {
 	const played = options.mutation === 'too few voters' ? {...site, size: site.losses + 1} : site;
 	return runFuzz({
 		commands: [...newFaultCommands(played.size), ...newLossCommands(played)],
--- a/packages/membership/src/get-demands.ts
+++ b/packages/membership/src/get-demands.ts
@@ -15,8 +15,8 @@
 	const demands = new Map<string, UnitDemand>();
 	for (const {report} of fleet.entries.values()) {
 		for (const demand of report.demands) {
-			const known = demands.get(demand.unit);
-			demands.set(demand.unit, known ? addDemands(known, demand) : demand);
+			const sum = demands.get(demand.unit);
+			demands.set(demand.unit, sum ? addDemands(sum, demand) : demand);
 		}
 	}
 
--- a/packages/membership/src/vm-orders.ts
+++ b/packages/membership/src/vm-orders.ts
@@ -1,5 +1,5 @@
 /** A grant as its VM learns of it. */
-type OrderedGrant = {
+type VmGrant = {
 	readonly id: string;
 	readonly unit: string;
 	readonly base: string;
@@ -12,5 +12,5 @@
 export type VmOrders = {
 	readonly revision: number;
 	readonly isDrained: boolean;
-	readonly grants: readonly OrderedGrant[];
+	readonly grants: readonly VmGrant[];
 };
