--- a/packages/consensus/src/consensus-effect.ts
+++ b/packages/consensus/src/consensus-effect.ts
@@ -4,12 +4,12 @@
 import type {Snapshot} from './snapshot.js';
 
 /**
- * What a voter wants done. Effects are carried out in order: a message or reply must not leave
+ * An action that a voter requests from its environment. Effects are executed in order: a message or reply must not be sent
  * before every persist effect that precedes it is synced.
  */
 export type ConsensusEffect =
 	| {readonly kind: 'persistHardState'; readonly hardState: HardState}
-	| {readonly kind: 'persistEntries'; /** Entries from the first index on are replaced. */ readonly entries: readonly LogEntry[]}
+	| {readonly kind: 'persistEntries'; /** These entries replace all stored entries from the first one's index on. */ readonly entries: readonly LogEntry[]}
 	| {readonly kind: 'persistSnapshot'; readonly snapshot: Snapshot; readonly entries: readonly LogEntry[]}
 	| {readonly kind: 'send'; readonly to: string; readonly message: ConsensusMessage}
 	| {readonly kind: 'apply'; readonly entry: LogEntry}
--- a/packages/consensus/src/consensus-event.ts
+++ b/packages/consensus/src/consensus-event.ts
@@ -1,11 +1,11 @@
 import type {ConsensusMessage} from './consensus-message.js';
 import type {Voter} from './voter.js';
 
-/** What a voter reacts to. */
+/** An input that changes the state of a voter. */
 export type ConsensusEvent =
-	| {readonly kind: 'tick'; /** Uniform in [0, 1). */ readonly jitter: number}
+	| {readonly kind: 'tick'; /** A random number, uniform in [0, 1). */ readonly jitter: number}
 	| {readonly kind: 'message'; readonly from: string; readonly message: ConsensusMessage}
-	/** The process stood still for a time that its clock did not count. */
+	/** The process was suspended for a time that its monotonic clock did not count. */
 	| {readonly kind: 'resumed'}
 	| {readonly kind: 'propose'; readonly proposalId: string; readonly data: string}
 	| {readonly kind: 'configure'; readonly proposalId: string; readonly voters: readonly Voter[]}
--- a/packages/consensus/src/consensus-message.ts
+++ b/packages/consensus/src/consensus-message.ts
@@ -1,7 +1,7 @@
 import type {LogEntry} from './log-entry.js';
 import type {Voter} from './voter.js';
 
-/** A message between voters. Times are monotonic milliseconds of the leader, echoed back to it. */
+/** A message between voters. `sentAt` is the leader's monotonic time of sending, in milliseconds; a reply returns it unchanged. */
 export type ConsensusMessage =
 	| {readonly kind: 'voteRequest'; readonly term: number; readonly isPreVote: boolean; readonly lastIndex: number; readonly lastTerm: number; readonly isTransfer: boolean}
 	| {readonly kind: 'voteReply'; readonly term: number; readonly isPreVote: boolean; readonly isGranted: boolean}
--- a/packages/consensus/src/consensus-node.ts
+++ b/packages/consensus/src/consensus-node.ts
@@ -28,22 +28,23 @@
 type NodeParts = {
 	readonly settings: ConsensusSettings;
 	readonly clock: Clock;
-	/** Tells when the process was last suspended. */
+	/** Provides the time at which the process was last resumed after a suspension. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt'>;
-	/** When this process started, in monotonic milliseconds; an earlier run on the same disk had ended by then. */
+	/** Start time of this process, in monotonic milliseconds. An earlier process on the same disk had ended by then. */
 	readonly processStartedAt: number;
 	readonly timers: TimerService;
 	readonly storage: LogStorage;
 	readonly transport: ConsensusTransport;
 	readonly machine: StateMachine;
+	/** Called after the voter has stopped because writes failed for too long. */
 	readonly onFailure: (error: ValeleadError) => void;
-	/** The process was suspended, or its time of day was set forward. */
+	/** Called after the process was suspended or its wall clock was set forward. */
 	readonly onResumed?: () => void;
-	/** A write to the disk failed and is tried again. */
+	/** Called when a write to the disk failed and will be retried. */
 	readonly onStorageRetry?: (error: Error) => void;
-	/** Log entries after which a snapshot is taken. */
+	/** Number of log entries after which a snapshot is taken. */
 	readonly snapshotEvery: number;
-	/** Uniform in [0, 1). */
+	/** Returns random numbers, uniform in [0, 1). */
 	readonly random: () => number;
 };
 
@@ -54,28 +55,28 @@
 
 const MIN_TICK_MS = 25;
 
-/** Ticks in a heartbeat; the resolution of elections and heartbeats. */
+/** Number of ticks in a heartbeat interval. The tick is the timer resolution of elections and heartbeats. */
 const TICKS_PER_HEARTBEAT = 4;
 
-/** A disk that refuses writes, such as a full one, is tried again for this long before the voter gives up. */
+/** Time for which failed writes are retried, for example while the disk is full, before the voter stops. */
 const STORAGE_RETRY_LIMIT_MS = 30_000;
 const STORAGE_RETRY_MS = 200;
 
-/** Runs one voter: feeds its state with events and carries out the effects, syncing before answering. */
+/** Runs one voter: passes events to its state and executes the resulting effects. Writes are synced before any reply is sent. */
 export class ConsensusNode {
 	readonly #parts: NodeParts;
 	readonly #state: ConsensusState;
 	readonly #proposals = new Map<string, PendingProposal>();
 	readonly #senders = new Map<string, MessageTarget>();
-	/** When a member was last heard, by its id. */
+	/** Monotonic time of the last message received from each member, by member id. */
 	readonly #lastReceivedAt = new Map<string, number>();
 	#pendingEffects: ConsensusEffect[] = [];
 	#flushing: Promise<void> | undefined;
 	#isStopped = false;
 	#nextProposal = 1;
-	/** The last entry that the state machine has taken; it follows the commit index after the disk. */
+	/** Index of the last entry applied to the state machine. It lags behind the commit index until the disk has synced the entries. */
 	#machineAppliedIndex = 0;
-	/** The highest index that a leader has told to be committed since this process started. */
+	/** The highest commit index received from a leader since this process started. */
 	#receivedCommitIndex = 0;
 	#isInformed = false;
 	#resumedAt = Number.NEGATIVE_INFINITY;
@@ -112,7 +113,7 @@
 		return this.#state.term;
 	}
 
-	/** The term in which an entry was proposed; undefined where the log does not hold it any more. */
+	/** Returns the term in which an entry was proposed, or undefined if the log does not contain the entry any more. */
 	getTermAt(index: number): number | undefined {
 		return getTermAt(this.#state, index);
 	}
@@ -125,6 +126,7 @@
 		return this.#state.voters;
 	}
 
+	/** Returns the voters of the snapshot, which initially are those that formed the quorum, or the current voters if the snapshot has none. */
 	get formation(): readonly Voter[] {
 		return this.#state.snapshot.voters.length > 0 ? this.#state.snapshot.voters : this.#state.voters;
 	}
@@ -133,7 +135,7 @@
 		return this.#state.voters.find(voter => voter.id === this.#state.leaderId);
 	}
 
-	/** Whether this voter has no vote, or may have none any more, and should ask to be let in. */
+	/** True if this voter has no vote, or may have lost it, and should ask the leader to admit it. */
 	get isAskingToJoin(): boolean {
 		return isAskingToJoin(this.#state, this.#parts.settings, this.#parts.clock.now());
 	}
@@ -142,7 +144,7 @@
 		return this.#state.role === 'leader';
 	}
 
-	/** Whether this voter leads, holds its lease, and has applied everything that earlier leaders committed. */
+	/** True if this voter is the leader, has a valid lease, and has committed an entry of its own term and thus all entries of earlier terms. */
 	get isCurrentLeader(): boolean {
 		this.#checkSuspension();
 		const now = this.#parts.clock.now();
@@ -150,20 +152,24 @@
 		return hasLease && this.#hasOwnCommit();
 	}
 
-	/** Whether the state machine holds everything that any leader has acknowledged: a read now is linearizable. */
+	/**
+	 * True if this voter is the current leader and its state machine has applied everything that any leader has acknowledged: reads are
+	 * linearizable.
+	 */
 	get canRead(): boolean {
 		return this.isCurrentLeader && this.#machineAppliedIndex >= this.#state.appliedIndex;
 	}
 
 	/**
-	 * Whether the state machine holds what was acknowledged before this process started, as far as the leaders that it heard since know: it has taken an
-	 * entry of the current term, behind which all earlier ones are, and all that was told to be committed. Later states only grow.
+	 * True if the state machine has applied everything that was acknowledged before this process started, as far as the leaders that have contacted
+	 * it since then know: it has applied an entry of the current term, which follows all earlier entries, and every entry up to the highest commit
+	 * index that it has received. It never becomes false again, because the state machine only moves forward.
 	 */
 	get isInformed(): boolean {
 		return this.#isInformed;
 	}
 
-	/** Takes a message. The sender's address is kept for the answer, as it may not be a known voter yet. */
+	/** Handles a message of another voter. The sender's address is stored for the reply, because the sender may not be a known voter yet. */
 	receive(from: MessageTarget, message: ConsensusMessage): void {
 		this.#senders.set(from.id, from);
 		this.#lastReceivedAt.set(from.id, this.#parts.clock.now());
@@ -171,16 +177,17 @@
 		this.#handle({kind: 'message', from: from.id, message});
 	}
 
-	/** Resolves with the index when the command is committed and applied. */
+	/** Proposes a command. Resolves with its index once it is committed and applied; rejects if this voter is not the leader. */
 	async propose(data: string): Promise<number> {
 		return this.#propose(proposalId => ({kind: 'propose', proposalId, data}));
 	}
 
+	/** Proposes a change of the voters. Resolves with its index once it is committed; rejects if this voter is not the leader. */
 	async configure(voters: readonly Voter[]): Promise<number> {
 		return this.#propose(proposalId => ({kind: 'configure', proposalId, voters}));
 	}
 
-	/** Hands leadership to the voter that has followed furthest among those that are heard. */
+	/** Transfers leadership to the reachable voter whose log is the most up to date. */
 	transfer(): void {
 		const target = getTransferTarget(this.#state, this.#parts.settings, this.#parts.clock.now());
 		if (target) {
@@ -188,17 +195,24 @@
 		}
 	}
 
-	/** The voters without one that was silent for too long, where they are better off without it and not fewer than the least number. */
-	getReducedVoters(silenceMs: number, leastVoters: number): readonly Voter[] | undefined {
-		return this.isCurrentLeader ? getReducedVoters(this.#state, silenceMs, this.#parts.clock.now(), leastVoters) : undefined;
+	/**
+	 * Returns the voters without one that has been silent for too long.
+	 * Returns undefined if none should be removed, or this voter is not the current leader.
+	 * @param minVoters - The number of voters below which none is removed.
+	 */
+	getReducedVoters(silenceMs: number, minVoters: number): readonly Voter[] | undefined {
+		return this.isCurrentLeader ? getReducedVoters(this.#state, silenceMs, this.#parts.clock.now(), minVoters) : undefined;
 	}
 
-	/** Whether this leader has fewer voters than the least number, and others joined within the growth time. */
-	isGrowing(leastVoters: number, growthMs: number): boolean {
-		return isGrowing(this.#state, leastVoters, growthMs, this.#parts.clock.now());
+	/** True if this leader has fewer voters than the minimum, and the last member was added, or its term began, less than the given time ago. */
+	isGrowing(minVoters: number, joinWindowMs: number): boolean {
+		return isGrowing(this.#state, minVoters, joinWindowMs, this.#parts.clock.now());
 	}
 
-	/** @param silenceMs - A member that said nothing for longer does not count as heard. */
+	/**
+	 * Returns this voter's view of the quorum.
+	 * @param silenceMs - A member that has sent no message for longer does not count as reachable, in milliseconds.
+	 */
 	getView(silenceMs: number): QuorumView {
 		const {selfId, term} = this.#state;
 		const now = this.#parts.clock.now();
@@ -209,7 +223,7 @@
 		};
 	}
 
-	/** Whether a member holds everything that is committed. */
+	/** True if a member has all committed entries. */
 	isCaughtUp(id: string): boolean {
 		return this.#getMatch(id) >= this.#state.commitIndex;
 	}
@@ -233,7 +247,7 @@
 		});
 	}
 
-	/** Takes that the process was suspended before anything is decided on what it held. */
+	/** Records a suspension of the process before any decision uses a lease from before it. */
 	#checkSuspension(): void {
 		const {resumedAt} = this.#parts.suspensions;
 		if (resumedAt > this.#resumedAt) {
@@ -296,7 +310,7 @@
 		}
 	}
 
-	/** Nothing that depends on the batch is sent before it is stored, so a voter whose disk refuses writes falls silent. */
+	/** Retries failed writes. Nothing that depends on the batch is sent before it is stored, so a voter whose writes fail stops responding. */
 	async #persistWithRetries(effects: readonly PersistEffect[]): Promise<void> {
 		const retriesEndAt = this.#parts.clock.now() + STORAGE_RETRY_LIMIT_MS;
 		for (;;) {
--- a/packages/consensus/src/consensus-settings.ts
+++ b/packages/consensus/src/consensus-settings.ts
@@ -1,6 +1,6 @@
-/** Timing of the quorum. All values in milliseconds. */
+/** Timing of the quorum. All values are in milliseconds. */
 export type ConsensusSettings = {
 	readonly heartbeatMs: number;
-	/** The shortest election timeout; the longest is twice this. */
+	/** The minimum election timeout; the maximum is twice this value. */
 	readonly electionTimeoutMs: number;
 };
--- a/packages/consensus/src/consensus-state.ts
+++ b/packages/consensus/src/consensus-state.ts
@@ -3,29 +3,29 @@
 import type {Snapshot} from './snapshot.js';
 import type {Voter} from './voter.js';
 
-/** The state of one voter. Only the functions of this package change it. */
+/** The state of one voter. Only functions of this package may change it. Times are monotonic milliseconds. */
 export type ConsensusState = {
 	readonly selfId: string;
 	role: string;
 	term: number;
 	votedFor: string | undefined;
 	snapshot: Snapshot;
-	/** Entries after the snapshot. */
+	/** Log entries that follow the snapshot. */
 	log: LogEntry[];
 	voters: readonly Voter[];
-	/** The index of the entry that set `voters`. */
+	/** Index of the configuration entry that set `voters`, or of the snapshot. */
 	votersIndex: number;
 	commitIndex: number;
 	appliedIndex: number;
-	/** The last index known to be synced on the own disk. */
+	/** The last index known to be synced on this voter's disk. */
 	syncedIndex: number;
 	leaderId: string | undefined;
 	leaderContactAt: number;
 	electionDueAt: number;
-	/** Uniform in [0, 1), anew with each tick. */
+	/** A random number, uniform in [0, 1), that each tick replaces. */
 	jitter: number;
 	heartbeatDueAt: number;
-	/** Answers to messages that were sent earlier confirm no lease, as more time may have passed since than the clock shows. */
+	/** Replies to messages sent at or before this time do not extend the lease, because a suspension may have hidden time from the clock. */
 	acksValidAfter: number;
 	leaderSince: number;
 	grantedVotes: Set<string>;
--- a/packages/consensus/src/decode-frames.ts
+++ b/packages/consensus/src/decode-frames.ts
@@ -10,7 +10,7 @@
 
 type DecodedFrames = {
 	readonly records: ReadonlyArray<readonly unknown[]>;
-	/** Bytes up to the end of the last whole frame. */
+	/** Number of bytes up to the end of the last complete frame. */
 	readonly validLength: number;
 };
 
@@ -46,8 +46,9 @@
 };
 
 /**
- * Reads whole frames. A frame torn at the end was never acknowledged and is cut; a bad frame that
- * whole frames follow means that acknowledged records are damaged, which is an error.
+ * Decodes all complete frames of a log file. An incomplete frame at the end was never acknowledged and is ignored. An invalid frame that is
+ * followed by a valid one means that acknowledged records are damaged.
+ * @throws ValeleadError with the code CorruptLog if acknowledged records are damaged.
  */
 export const decodeFrames = (bytes: Buffer): DecodedFrames => {
 	const records: Array<readonly unknown[]> = [];
--- a/packages/consensus/src/encode-frame.ts
+++ b/packages/consensus/src/encode-frame.ts
@@ -2,7 +2,7 @@
 import {crc32} from 'node:zlib';
 import {FRAME_LAYOUT} from './frame-layout.js';
 
-/** One batch of records as a frame. */
+/** Encodes a batch of records as one checksummed frame. */
 export const encodeFrame = (records: readonly unknown[]): Buffer => {
 	const body = Buffer.from(JSON.stringify(records), 'utf8');
 	const header = Buffer.alloc(FRAME_LAYOUT.HeaderBytes);
--- a/packages/consensus/src/file-storage.ts
+++ b/packages/consensus/src/file-storage.ts
@@ -12,7 +12,7 @@
 import type {MutableStoredLog} from './mutable-stored-log.js';
 import type {StoredLog} from './stored-log.js';
 
-/** The log may hold keys of callers. */
+/** File mode of the log: only the owner may read it, because it may contain keys of callers. */
 const OWNER_ONLY_MODE = 0o600;
 
 const FILE_PATTERN = /^log-(?<number>\d+)\.wal$/v;
@@ -29,7 +29,7 @@
 };
 
 /**
- * A log in one append-only file. A batch is one checksummed frame, synced before the batch counts as stored.
+ * Stores the log in one append-only file. A batch is one checksummed frame, which is synced before the batch counts as stored.
  * A snapshot starts a new file, which replaces the old one by an atomic rename.
  */
 export class FileStorage implements LogStorage {
@@ -37,9 +37,9 @@
 	#number = 0;
 	#handle: FileHandle | undefined;
 	#stored: MutableStoredLog | undefined;
-	/** Bytes of the file that are whole and synced. */
+	/** Number of bytes of the file that contain complete, synced frames. */
 	#validLength = 0;
-	/** Whether a write failed, so that the file may hold more than that. */
+	/** True if a write failed, so that the file may contain a partial frame after the valid bytes. */
 	#hasFailedWrite = false;
 
 	constructor(folder: string) {
@@ -58,7 +58,7 @@
 		const {records, validLength} = decodeFrames(await readFile(file));
 		const first = records[0]?.[0] as StoredLog | undefined;
 		if (!first) {
-			throw new ValeleadError(`${file} holds no complete first record`, {code: RESULT_CODE.CorruptLog});
+			throw new ValeleadError(`${file} has no complete first record`, {code: RESULT_CODE.CorruptLog});
 		}
 
 		const stored = {...first, entries: [...first.entries]};
@@ -101,7 +101,7 @@
 		this.#handle = undefined;
 	}
 
-	/** A write that failed is cut off before the next one, so that a batch can be tried again. */
+	/** Appends a frame. The remains of a failed write are truncated first, so that a batch can be retried. */
 	async #append(frame: Buffer): Promise<void> {
 		const handle = this.#handle!;
 		if (this.#hasFailedWrite) {
--- a/packages/consensus/src/formation-decision.ts
+++ b/packages/consensus/src/formation-decision.ts
@@ -1,8 +1,13 @@
 import type {Voter} from './voter.js';
 
-/** What a voter with an empty disk has to do. */
+/** The next step of a voter with an empty disk. */
 export type FormationDecision =
-	/** Look again, and tell the others the ids of the voters that it would form a quorum with; none while some controller was not reached. */
+	/**
+	 * The voter queries all controllers again, and reports to them the ids of the voters with which it would form a quorum. The proposal is empty
+	 * if some controller was not reached.
+	 */
 	| {readonly kind: 'wait'; readonly proposal: readonly string[]}
+	/** The voter starts with these voters: as one of a new quorum, or as a known voter of an existing one. */
 	| {readonly kind: 'form'; readonly voters: readonly Voter[]}
+	/** The voter asks an existing quorum to admit it. */
 	| {readonly kind: 'join'};
--- a/packages/consensus/src/found-voter.ts
+++ b/packages/consensus/src/found-voter.ts
@@ -1,14 +1,14 @@
 import type {Voter} from './voter.js';
 
-/** What a voter with an empty disk learns of a peer. */
+/** The answer of a controller to a voter with an empty disk that looks for a quorum. */
 export type FoundVoter = {
 	readonly voter: Voter;
-	/** False for a controller without a disk, which never has a vote. */
+	/** False if the controller has no disk; such a controller never has a vote. */
 	readonly canVote: boolean;
-	/** Whether the peer belongs to a quorum. */
+	/** True if the peer belongs to a quorum. */
 	readonly isFormed: boolean;
-	/** While it belongs to none: the ids of the voters that it would form one with. */
+	/** Ids of the voters with which the peer would form a quorum, as long as it belongs to none. */
 	readonly proposal: readonly string[];
-	/** The voters of that quorum as far as the peer knows them. */
+	/** The voters of the peer's quorum, as far as the peer knows them. */
 	readonly formation: readonly Voter[];
 };
--- a/packages/consensus/src/frame-layout.ts
+++ b/packages/consensus/src/frame-layout.ts
@@ -1,4 +1,4 @@
-/** The layout of a frame: length, checksum of the length, checksum of the body, body. All numbers are unsigned 32-bit, little endian. */
+/** Layout of a frame: length, checksum of the length, checksum of the body, body. All numbers are unsigned 32-bit little-endian integers. */
 export const FRAME_LAYOUT = {
 	LengthOffset: 0,
 	LengthChecksumOffset: 4,
--- a/packages/consensus/src/get-borne-losses.ts
+++ b/packages/consensus/src/get-borne-losses.ts
@@ -1,2 +1,2 @@
-/** How many of the given number of voters may be lost at once while the rest is still a majority. */
+/** Returns how many voters may fail at once so that the remaining ones are still a majority. */
 export const getBorneLosses = (voterCount: number): number => Math.max(0, Math.ceil(voterCount / 2) - 1);
--- a/packages/consensus/src/get-current-voters.ts
+++ b/packages/consensus/src/get-current-voters.ts
@@ -8,7 +8,7 @@
 	readonly index: number;
 };
 
-/** The voters set by the last configuration entry, or by the snapshot where the log holds none. */
+/** Returns the voters of the last configuration entry, or of the snapshot if the log contains no such entry. */
 export const getCurrentVoters = (snapshot: Snapshot, log: readonly LogEntry[]): CurrentVoters => {
 	const entry = log.findLast(candidate => candidate.kind === LOG_ENTRY_KIND.Configuration);
 	if (!entry) {
--- a/packages/consensus/src/get-formation.ts
+++ b/packages/consensus/src/get-formation.ts
@@ -10,15 +10,19 @@
 	.every(({proposal}) => proposal.length === ids.length && proposal.every((id, index) => id === ids[index]));
 
 /**
- * Decides how a voter with an empty disk starts. A quorum is formed only when every configured voter is reached, none has one, and all would form the
- * same one, so a lost disk never leads to a second quorum. A voter that a formed quorum does not know joins it under its new identity. Controllers without a
- * disk are reached as the others are, and get no vote: what they hold ends with their process.
+ * Decides how a voter with an empty disk starts. A new quorum is formed only if every configured controller was reached, none of them belongs to a
+ * quorum, and all would form the same one, so that a lost disk never leads to a second quorum. A voter that an existing quorum does not know joins
+ * it under its new identity. Controllers without a disk have to be reached too, but get no vote, because their state is lost when their process
+ * ends.
  *
- * Two quorums would need a voter that is in both, with its disk whole, and that told first the one set and then the other. Identities change in one
- * direction only and each look begins after the one before, so what a voter tells never goes back; and once it belongs to a quorum it tells of that one.
+ * Two quorums cannot form: a voter with an intact disk would have to belong to both, and to have proposed first the one set of voters and then the
+ * other. A new identity never changes back to an old one and each round of queries begins after the previous one has ended, so a voter never
+ * returns to an earlier proposal; and once it belongs to a quorum it reports that quorum.
+ * @param expectedCount - Number of configured controllers, including this voter.
+ * @param peers - The answers of the controllers that were reached in this round.
  */
 export const getFormation = (self: Voter, expectedCount: number, peers: readonly FoundVoter[]): FormationDecision => {
-	// One that joins and knows no voters yet cannot say whether this voter is one of them.
+	// A peer that is joining and knows no voters yet cannot tell whether this voter is one of them.
 	const formed = peers.filter(peer => peer.isFormed && peer.formation.length > 0);
 	const own = formed.find(peer => peer.formation.some(voter => voter.id === self.id));
 	if (own) {
--- a/packages/consensus/src/get-last-index.ts
+++ b/packages/consensus/src/get-last-index.ts
@@ -1,4 +1,4 @@
 import type {ConsensusState} from './consensus-state.js';
 
-/** The index of the last entry, synced or not. */
+/** Returns the index of the last log entry, even if that entry is not synced yet. */
 export const getLastIndex = (state: ConsensusState): number => state.snapshot.index + state.log.length;
--- a/packages/consensus/src/get-lease-end.ts
+++ b/packages/consensus/src/get-lease-end.ts
@@ -2,12 +2,12 @@
 import type {ConsensusSettings} from './consensus-settings.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** The part of the election timeout that a lease may use; the rest covers clocks that run at different rates. */
+/** Length of a lease as a share of the election timeout. The rest allows for clocks that run at different rates. */
 const LEASE_SHARE = 0.9;
 
 /**
- * The time up to which no other leader can have been elected. Every member of the quorum that
- * answered a message refuses its vote for an election timeout after it received that message.
+ * Returns the monotonic time until which no other leader can have been elected. Every voter that replied to a message of the leader
+ * refuses its vote to other candidates for an election timeout after it received that message.
  */
 export const getLeaseEnd = (state: ConsensusState, settings: ConsensusSettings, now: number): number => {
 	if (state.role !== 'leader' || state.transferTo !== undefined) {
--- a/packages/consensus/src/get-least-voters.ts
+++ b/packages/consensus/src/get-least-voters.ts
@@ -1,2 +1,5 @@
-/** The voters that a quorum needs so that a majority is left, and holds all that was acknowledged, after the loss of some at once. */
+/**
+ * Returns the number of voters that a quorum needs so that, after the given number fail at once, a majority remains that has all acknowledged
+ * entries.
+ */
 export const getLeastVoters = (losses: number): number => (2 * losses) + 1;
--- a/packages/consensus/src/get-next-membership.ts
+++ b/packages/consensus/src/get-next-membership.ts
@@ -1,10 +1,10 @@
 import type {Voter} from './voter.js';
 
 /**
- * The next configuration on the way to the wished member, one vote at a time: the old identity on
- * the same VM leaves, the new one joins as a learner, and gets its vote once it has caught up.
- * Undefined where nothing is left to do. The old one leaves first, as it is gone: were the new one to vote
- * before that, a majority of one voter more would need the new one itself, and fewer sets of losses would be borne.
+ * Returns the next configuration on the way to admitting a member, or undefined if no change is needed. Each step changes at most one vote: the new
+ * member is added as a learner; once it has caught up, an old identity on the same VM is removed; then the new member gets its vote. The old
+ * identity is removed before the new one votes because it has failed: if the new one voted first, a majority of the enlarged quorum would need the
+ * new member itself, and the quorum would tolerate fewer sets of failed voters.
  */
 export const getNextMembership = (voters: readonly Voter[], joining: Voter, isCaughtUp: boolean): readonly Voter[] | undefined => {
 	const current = voters.find(voter => voter.id === joining.id);
--- a/packages/consensus/src/get-quorum-value.ts
+++ b/packages/consensus/src/get-quorum-value.ts
@@ -1,6 +1,6 @@
 import type {ConsensusState} from './consensus-state.js';
 
-/** The largest value that a majority of the voters has reached. */
+/** Returns the largest value that a majority of the voters has reached, or negative infinity if there are no voters. */
 export const getQuorumValue = (state: ConsensusState, getValue: (id: string) => number): number => {
 	const values = state.voters
 		.filter(voter => !voter.isLearner)
--- a/packages/consensus/src/get-reduced-voters.ts
+++ b/packages/consensus/src/get-reduced-voters.ts
@@ -7,21 +7,23 @@
 		return false;
 	}
 
-	// A member that has just joined has not been silent for as long as the leader leads.
+	// A new member counts as silent from its joining on, not from the start of the leader's term.
 	return now - Math.max(progress.ackedSentAt, progress.joinedAt, state.leaderSince) > silenceMs;
 };
 
 /**
- * The voters without one that was silent for too long, where that lets fewer voters form a majority: an even number
- * of voters bears no more losses than one voter less. A voter that comes back joins again. Undefined where all stay.
- * @param leastVoters - 2f + 1 for f losses that must be borne: what is left must still bear the losses that the settings
- * state, as the voter that was let go may stay away for good.
+ * Returns the voters without one that has been silent for too long, or undefined if none should be removed. A silent learner is always removed. A
+ * voter is removed only while there are more than the minimum, and only from an even number of voters: it tolerates no more failures than one voter
+ * less, but needs a larger majority. A removed voter that returns joins again.
+ * @param silenceMs - Time in milliseconds after which a member without a reply counts as silent.
+ * @param minVoters - 2f + 1 for the f failures that the settings require the quorum to tolerate. The remaining voters must still tolerate them,
+ * because the removed voter may never return.
  */
-export const getReducedVoters = (state: ConsensusState, silenceMs: number, now: number, leastVoters: number): readonly Voter[] | undefined => {
+export const getReducedVoters = (state: ConsensusState, silenceMs: number, now: number, minVoters: number): readonly Voter[] | undefined => {
 	const silent = state.voters.filter(voter => isSilent(state, voter, silenceMs, now));
 	const learner = silent.find(voter => voter.isLearner);
 	const count = state.voters.filter(voter => !voter.isLearner).length;
-	const isRemovalSafe = count > leastVoters && count % 2 === 0;
+	const isRemovalSafe = count > minVoters && count % 2 === 0;
 	const removed = learner ?? (isRemovalSafe ? silent[0] : undefined);
 	return removed && state.voters.filter(voter => voter.id !== removed.id);
 };
--- a/packages/consensus/src/get-term-at.ts
+++ b/packages/consensus/src/get-term-at.ts
@@ -1,6 +1,6 @@
 import type {ConsensusState} from './consensus-state.js';
 
-/** The term of the entry at an index, or undefined where it is not held. */
+/** Returns the term of the entry at an index, or undefined if the log does not contain that entry. */
 export const getTermAt = (state: ConsensusState, index: number): number | undefined => {
 	if (index === state.snapshot.index) {
 		return state.snapshot.term;
--- a/packages/consensus/src/get-transfer-target.ts
+++ b/packages/consensus/src/get-transfer-target.ts
@@ -3,8 +3,8 @@
 import type {Voter} from './voter.js';
 
 /**
- * The voter that has followed furthest, among those that answered a message of the last election timeout: one that is
- * gone may have followed as far. Undefined where none answered; handing over would only leave the quorum without a leader sooner.
+ * Returns the voter with the most up-to-date log among those that replied to a message sent within the last election timeout; a voter that has
+ * failed since may have as many entries. Returns undefined if none replied: a transfer would then only leave the quorum without a leader sooner.
  */
 export const getTransferTarget = (state: ConsensusState, settings: ConsensusSettings, now: number): Voter | undefined => {
 	const isReachable = ({id}: Voter): boolean => now - (state.peers.get(id)?.ackedSentAt ?? Number.NEGATIVE_INFINITY) <= settings.electionTimeoutMs;
--- a/packages/consensus/src/hard-state.ts
+++ b/packages/consensus/src/hard-state.ts
@@ -1,4 +1,4 @@
-/** What a voter must not forget across a restart. */
+/** The part of a voter's state, besides its log, that must survive a restart. */
 export type HardState = {
 	readonly term: number;
 	readonly votedFor: string | undefined;
--- a/packages/consensus/src/is-growing.ts
+++ b/packages/consensus/src/is-growing.ts
@@ -1,10 +1,15 @@
 import type {ConsensusState} from './consensus-state.js';
 
-/** Whether a leader's voters are fewer than the least number, and others may be about to join: the last one did lately, or nobody has had the time yet. */
-export const isGrowing = (state: ConsensusState, leastVoters: number, growthMs: number, now: number): boolean => {
+/**
+ * True if a leader has fewer voters than the minimum and further ones may be about to join, because the last member was added, or the leader's term
+ * began, less than the given time ago.
+ * @param minVoters - The minimum number of voters.
+ * @param joinWindowMs - Time in milliseconds within which a further voter is expected after the last one.
+ */
+export const isGrowing = (state: ConsensusState, minVoters: number, joinWindowMs: number, now: number): boolean => {
 	const count = state.voters.filter(voter => !voter.isLearner).length;
-	// Voters count from when a majority of them has synced that they are.
-	const isMinReached = count >= leastVoters && state.votersIndex <= state.commitIndex;
+	// A configuration counts only once it is committed, that is, synced by a majority of its voters.
+	const isMinReached = count >= minVoters && state.votersIndex <= state.commitIndex;
 	const joinedAt = Math.max(state.leaderSince, ...[...state.peers.values()].map(progress => progress.joinedAt));
-	return state.role === 'leader' && !isMinReached && now - joinedAt < growthMs;
+	return state.role === 'leader' && !isMinReached && now - joinedAt < joinWindowMs;
 };
--- a/packages/consensus/src/is-voting.ts
+++ b/packages/consensus/src/is-voting.ts
@@ -1,4 +1,4 @@
 import type {ConsensusState} from './consensus-state.js';
 
-/** Whether a member has a vote in the current configuration. */
+/** True if a member has a vote in the current configuration. */
 export const isVoting = (state: ConsensusState, id: string): boolean => state.voters.some(voter => voter.id === id && !voter.isLearner);
--- a/packages/consensus/src/log-entry-kind.ts
+++ b/packages/consensus/src/log-entry-kind.ts
@@ -1,4 +1,4 @@
-/** What a log entry holds. */
+/** The kinds of log entries. */
 export const LOG_ENTRY_KIND = {
 	Command: 'command',
 	Configuration: 'configuration',
--- a/packages/consensus/src/log-entry.ts
+++ b/packages/consensus/src/log-entry.ts
@@ -5,6 +5,6 @@
 	readonly index: number;
 	readonly term: number;
 	readonly kind: (typeof LOG_ENTRY_KIND)[keyof typeof LOG_ENTRY_KIND];
-	/** JSON: a command, or the voters of a configuration. */
+	/** A command, or the voters of a configuration, as JSON; empty for an entry without content. */
 	readonly data: string;
 };
--- a/packages/consensus/src/log-storage.ts
+++ b/packages/consensus/src/log-storage.ts
@@ -1,13 +1,13 @@
 import type {PersistEffect} from './persist-effect.js';
 import type {StoredLog} from './stored-log.js';
 
-/** The disk of a voter. */
+/** The durable storage of one voter. */
 export type LogStorage = {
-	/** What is stored, or undefined where nothing was ever stored. */
+	/** Resolves with the stored log, or with undefined if nothing has been stored yet. */
 	readonly load: () => Promise<StoredLog | undefined>;
-	/** Makes the first record of a new identity. */
+	/** Writes the first record of a new voter identity. */
 	readonly create: (stored: StoredLog) => Promise<void>;
-	/** Writes the effects and resolves when they are synced. */
+	/** Writes the effects and resolves once they are synced. */
 	readonly persist: (effects: readonly PersistEffect[]) => Promise<void>;
 	readonly close: () => Promise<void>;
 };
--- a/packages/consensus/src/message-target.ts
+++ b/packages/consensus/src/message-target.ts
@@ -1,4 +1,4 @@
-/** Where a message to another voter goes. */
+/** The recipient of a message between voters. */
 export type MessageTarget = {
 	readonly id: string;
 	readonly address: string;
--- a/packages/consensus/src/mutate-append-reply.ts
+++ b/packages/consensus/src/mutate-append-reply.ts
@@ -8,7 +8,7 @@
 
 type AppendReply = Extract<ConsensusMessage, {kind: 'appendReply'}>;
 
-/** Notes how far a member has followed. */
+/** Handles a member's reply to an append or snapshot request: records its progress and commits entries that a majority has synced. */
 export const mutateAppendReply = (state: ConsensusState, now: number, from: string, reply: AppendReply): ConsensusEffect[] => {
 	if (reply.term > state.term) {
 		return mutateFollower(state, 'higherTerm', reply.term);
--- a/packages/consensus/src/mutate-append-request.ts
+++ b/packages/consensus/src/mutate-append-request.ts
@@ -11,7 +11,7 @@
 
 type AppendRequest = Extract<ConsensusMessage, {kind: 'appendRequest'}>;
 
-/** Where the leader should try next: before the whole term that disagrees. */
+/** Returns the index from which the leader should retry: the one before all entries of the conflicting term, as in Raft's fast log backtracking. */
 const getConflictHint = (state: ConsensusState, request: AppendRequest): number => {
 	const last = Math.min(getLastIndex(state), request.previousIndex);
 	const term = getTermAt(state, last);
@@ -23,7 +23,7 @@
 	return getLastIndex(state) < request.previousIndex ? last : index;
 };
 
-/** Takes entries from the leader. */
+/** Handles an append request: appends the leader's entries, or rejects them if the entry before them does not match. */
 export const mutateAppendRequest = (state: ConsensusState, settings: ConsensusSettings, now: number, from: string, request: AppendRequest): ConsensusEffect[] => {
 	if (request.term < state.term) {
 		return [newAppendReply(state, from, false, getLastIndex(state), request.sentAt)];
--- a/packages/consensus/src/mutate-append.ts
+++ b/packages/consensus/src/mutate-append.ts
@@ -5,7 +5,7 @@
 import type {LogEntry} from './log-entry.js';
 import type {Voter} from './voter.js';
 
-/** Appends an entry of the leader's term. A configuration takes effect as soon as it is appended. */
+/** Appends an entry of the leader's term to its log. A configuration takes effect as soon as it is appended. */
 export const mutateAppend = (state: ConsensusState, kind: LogEntry['kind'], data: string): ConsensusEffect[] => {
 	const entry: LogEntry = {
 		index: getLastIndex(state) + 1,
--- a/packages/consensus/src/mutate-applied.ts
+++ b/packages/consensus/src/mutate-applied.ts
@@ -1,7 +1,7 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Applies what is committed and not yet applied. */
+/** Applies all entries that are committed but not yet applied. */
 export const mutateApplied = (state: ConsensusState): ConsensusEffect[] => {
 	const effects: ConsensusEffect[] = [];
 	while (state.appliedIndex < state.commitIndex) {
--- a/packages/consensus/src/mutate-candidate.ts
+++ b/packages/consensus/src/mutate-candidate.ts
@@ -6,7 +6,7 @@
 import type {ConsensusSettings} from './consensus-settings.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Stands for election in a new term. */
+/** Starts an election: begins a new term, votes for itself and requests the votes of the other voters. */
 export const mutateCandidate = (state: ConsensusState, settings: ConsensusSettings, now: number, isTransfer: boolean): ConsensusEffect[] => {
 	state.term += 1;
 	state.votedFor = state.selfId;
--- a/packages/consensus/src/mutate-commit.ts
+++ b/packages/consensus/src/mutate-commit.ts
@@ -6,7 +6,10 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Commits what a majority has synced, if it is of the leader's own term. */
+/**
+ * Commits the entries that a majority has synced, if the last of them is of the leader's own term. A leader steps down once its removal is
+ * committed.
+ */
 export const mutateCommit = (state: ConsensusState): ConsensusEffect[] => {
 	const index = getQuorumValue(state, id => id === state.selfId ? state.syncedIndex : (state.peers.get(id)?.matchIndex ?? 0));
 	if (index <= state.commitIndex || getTermAt(state, index) !== state.term) {
--- a/packages/consensus/src/mutate-configuration.ts
+++ b/packages/consensus/src/mutate-configuration.ts
@@ -11,7 +11,7 @@
 
 const getVotingIds = (voters: readonly Voter[]): string[] => voters.filter(voter => !voter.isLearner).map(voter => voter.id);
 
-/** Two configurations that differ by at most one vote have overlapping majorities. */
+/** True if two configurations differ by at most one vote. Every majority of the one then overlaps with every majority of the other. */
 const isSingleVoteChange = (from: readonly Voter[], to: readonly Voter[]): boolean => {
 	const before = new Set(getVotingIds(from));
 	const after = new Set(getVotingIds(to));
@@ -21,8 +21,8 @@
 };
 
 /**
- * Appends a change of voters. One change at a time, of one vote, and only after an entry of the
- * leader's own term has committed.
+ * Appends a change of the voters, or rejects it. A change may add or remove at most one vote, and is allowed only after the previous change and
+ * an entry of the leader's own term have been committed.
  */
 export const mutateConfiguration = (state: ConsensusState, now: number, proposalId: string, voters: readonly Voter[]): ConsensusEffect[] => {
 	const isPreviousCommitted = state.votersIndex <= state.commitIndex && getTermAt(state, state.commitIndex) === state.term;
--- a/packages/consensus/src/mutate-consensus.ts
+++ b/packages/consensus/src/mutate-consensus.ts
@@ -53,8 +53,9 @@
 };
 
 /**
- * The lease that was held may be over, and another voter may lead: it counts again once a majority answers what is sent after this moment. What was sent
- * at this very moment, on a clock that stood still, may be from before; so the next heartbeat goes with the next tick.
+ * Invalidates the lease after a suspension, because it may have expired and another voter may lead. The lease is valid again once a majority has
+ * replied to messages sent after this time. The clock was stopped during the suspension, so a message stamped with exactly this time may have been
+ * sent before it; therefore the next heartbeat is sent with the next tick.
  */
 const mutateResumed = (state: ConsensusState, now: number): ConsensusEffect[] => {
 	state.acksValidAfter = now;
@@ -110,7 +111,7 @@
 };
 
 /**
- * Advances a voter by one event and returns what must be done, in order.
+ * Applies one event to the state of a voter and returns the effects, in the order in which they must be executed.
  * The algorithm is Raft (Ongaro, 2014) with pre-vote, check-quorum, leader lease and
  * membership changes of one vote at a time.
  */
--- a/packages/consensus/src/mutate-election.ts
+++ b/packages/consensus/src/mutate-election.ts
@@ -7,7 +7,7 @@
 import type {ConsensusSettings} from './consensus-settings.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Asks whether an election could be won, without disturbing the term. */
+/** Starts a pre-vote: asks the other voters if they would grant their votes, without starting a new term. */
 export const mutateElection = (state: ConsensusState, settings: ConsensusSettings, now: number, jitter: number): ConsensusEffect[] => {
 	state.electionDueAt = now + (settings.electionTimeoutMs * (1 + jitter));
 	if (!isVoting(state, state.selfId)) {
--- a/packages/consensus/src/mutate-follower.ts
+++ b/packages/consensus/src/mutate-follower.ts
@@ -2,7 +2,7 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Makes the voter a follower, in a newer term where one is given, and rejects what it had proposed. */
+/** Makes the voter a follower, adopts the term if it is newer, and rejects all pending proposals. */
 export const mutateFollower = (state: ConsensusState, event: string, term: number): ConsensusEffect[] => {
 	const effects: ConsensusEffect[] = [];
 	if (term > state.term) {
--- a/packages/consensus/src/mutate-leader.ts
+++ b/packages/consensus/src/mutate-leader.ts
@@ -7,7 +7,7 @@
 import type {ConsensusSettings} from './consensus-settings.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Takes up leadership: an empty entry of the new term commits what earlier terms left. */
+/** Makes the voter the leader. It appends an empty entry of the new term, whose commit also commits the entries of earlier terms. */
 export const mutateLeader = (state: ConsensusState, settings: ConsensusSettings, now: number): ConsensusEffect[] => {
 	state.leaderId = state.selfId;
 	state.leaderSince = now;
--- a/packages/consensus/src/mutate-log.ts
+++ b/packages/consensus/src/mutate-log.ts
@@ -4,7 +4,7 @@
 import type {ConsensusState} from './consensus-state.js';
 import type {LogEntry} from './log-entry.js';
 
-/** Replaces the part of the log that disagrees with the leader's. */
+/** Replaces the end of the log from the first entry that conflicts with the leader's log. */
 export const mutateLog = (state: ConsensusState, entries: readonly LogEntry[]): ConsensusEffect[] => {
 	const firstNew = entries.findIndex(entry => entry.index > state.snapshot.index && getTermAt(state, entry.index) !== entry.term);
 	if (firstNew === -1) {
--- a/packages/consensus/src/mutate-proposal.ts
+++ b/packages/consensus/src/mutate-proposal.ts
@@ -6,7 +6,7 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Appends a command if this voter leads and is not handing over. */
+/** Appends a command, or rejects it if this voter is not the leader or is transferring leadership. */
 export const mutateProposal = (state: ConsensusState, now: number, proposalId: string, data: string): ConsensusEffect[] => {
 	if (state.role !== 'leader' || state.transferTo !== undefined) {
 		return newRejection(proposalId);
--- a/packages/consensus/src/mutate-snapshot-request.ts
+++ b/packages/consensus/src/mutate-snapshot-request.ts
@@ -10,7 +10,7 @@
 
 type SnapshotRequest = Extract<ConsensusMessage, {kind: 'snapshotRequest'}>;
 
-/** Takes a snapshot from the leader in place of entries it no longer has. */
+/** Handles a snapshot request: installs the leader's snapshot, which replaces log entries that the leader no longer has. */
 export const mutateSnapshotRequest = (state: ConsensusState, settings: ConsensusSettings, now: number, from: string, request: SnapshotRequest): ConsensusEffect[] => {
 	if (request.term < state.term) {
 		return [newAppendReply(state, from, false, getLastIndex(state), request.sentAt)];
--- a/packages/consensus/src/mutate-stored-log.ts
+++ b/packages/consensus/src/mutate-stored-log.ts
@@ -1,7 +1,7 @@
 import type {PersistEffect} from './persist-effect.js';
 import type {MutableStoredLog} from './mutable-stored-log.js';
 
-/** Replays one persisted effect onto what is stored. */
+/** Applies one persist effect to the stored log. */
 export const mutateStoredLog = (stored: MutableStoredLog, effect: PersistEffect): MutableStoredLog => {
 	switch (effect.kind) {
 		case 'persistHardState': {
--- a/packages/consensus/src/mutate-tick.ts
+++ b/packages/consensus/src/mutate-tick.ts
@@ -11,12 +11,12 @@
 		return false;
 	}
 
-	// After a suspension the others have an election timeout to answer before the quorum counts as lost.
+	// After a suspension, the other voters have an election timeout to reply before the quorum counts as lost.
 	const hasResumed = now - state.acksValidAfter < settings.electionTimeoutMs;
 	return state.transferTo === undefined && !hasResumed && getLeaseEnd(state, settings, now) + settings.electionTimeoutMs < now;
 };
 
-/** Gives up a hand-over that its target did not take. */
+/** Ends a leadership transfer that its target has not completed in time. */
 const mutateTransferTimeout = (state: ConsensusState, now: number): void => {
 	if (state.transferTo !== undefined && now >= state.transferEndsAt) {
 		state.transferTo = undefined;
@@ -24,7 +24,7 @@
 	}
 };
 
-/** Sends heartbeats, steps down without a quorum, or starts an election. */
+/** Handles a tick: a leader sends heartbeats or steps down if it has lost its quorum; any other voter starts an election when one is due. */
 export const mutateTick = (state: ConsensusState, settings: ConsensusSettings, now: number, jitter: number): ConsensusEffect[] => {
 	state.jitter = jitter;
 	if (state.role !== 'leader') {
--- a/packages/consensus/src/mutate-vote-reply.ts
+++ b/packages/consensus/src/mutate-vote-reply.ts
@@ -10,7 +10,7 @@
 
 type VoteReply = Extract<ConsensusMessage, {kind: 'voteReply'}>;
 
-/** Counts a vote. */
+/** Handles a reply to a vote request, and continues the election once a majority has granted its votes. */
 export const mutateVoteReply = (state: ConsensusState, settings: ConsensusSettings, now: number, from: string, reply: VoteReply): ConsensusEffect[] => {
 	if (!reply.isGranted) {
 		return reply.term > state.term ? mutateFollower(state, 'higherTerm', reply.term) : [];
--- a/packages/consensus/src/mutate-vote-request.ts
+++ b/packages/consensus/src/mutate-vote-request.ts
@@ -18,10 +18,10 @@
 	return request.lastIndex >= lastIndex;
 };
 
-/** A voter that hears a leader, or is one, does not help to replace it; this is what makes the lease safe. */
+/** True if the voter is the leader or has recently received a message from one. It then refuses its vote; the lease is safe because of this. */
 const isLeaderReachable = (state: ConsensusState, settings: ConsensusSettings, now: number): boolean => state.role === 'leader' || now - state.leaderContactAt < settings.electionTimeoutMs;
 
-/** Answers a request for a vote. */
+/** Handles a vote request. The vote is persisted before the reply is sent. */
 export const mutateVoteRequest = (state: ConsensusState, settings: ConsensusSettings, now: number, from: string, request: VoteRequest): ConsensusEffect[] => {
 	const newReply = (isGranted: boolean): ConsensusEffect => ({
 		kind: 'send',
--- a/packages/consensus/src/new-append-reply.ts
+++ b/packages/consensus/src/new-append-reply.ts
@@ -1,7 +1,7 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Answers the leader; `sentAt` is its own time, echoed. */
+/** Returns an effect that replies to the leader. `sentAt` is the leader's own time, returned unchanged. */
 export const newAppendReply = (state: ConsensusState, to: string, isSuccess: boolean, matchIndex: number, sentAt: number): ConsensusEffect => ({
 	kind: 'send',
 	to,
--- a/packages/consensus/src/new-append-requests.ts
+++ b/packages/consensus/src/new-append-requests.ts
@@ -3,7 +3,7 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Entries that one message carries at most. */
+/** Maximum number of entries in one message. */
 const MAX_ENTRIES = 512;
 
 const newRequest = (state: ConsensusState, to: string, now: number): ConsensusEffect => {
@@ -40,5 +40,5 @@
 	};
 };
 
-/** A message to every other member, with the entries that it is not known to have been sent. */
+/** Returns one message for each other member, with the next entries to send to it, or with the snapshot if the log no longer contains them. */
 export const newAppendRequests = (state: ConsensusState, now: number): ConsensusEffect[] => [...state.peers.keys()].map(to => newRequest(state, to, now));
--- a/packages/consensus/src/new-consensus-state.ts
+++ b/packages/consensus/src/new-consensus-state.ts
@@ -3,21 +3,24 @@
 import type {ConsensusState} from './consensus-state.js';
 import type {StoredLog} from './stored-log.js';
 
-/** The first election after a start falls due after so many election timeouts: no vote is granted in the first one. */
+/**
+ * The first election after a start is due after this many election timeouts, as voters grant no vote within the first timeout after their own
+ * start.
+ */
 const FIRST_ELECTION_TIMEOUTS = 1.25;
 
 /**
- * Over which part of an election timeout the first elections of voters that start together are spread, so that they do not all vote for themselves:
- * after the death of all processes the mean time to a leader falls by a third.
+ * The first elections of voters that start together are spread over this share of an election timeout, so that they do not all vote for themselves.
+ * This shortens the mean time until a leader is elected after a crash of all processes by a third.
  */
 const FIRST_ELECTION_SPREAD = 0.5;
 
 /**
- * The state of a voter that starts from its stored log. It counts the start of its process as contact with a leader, so
- * that a lease granted before the restart is honoured. An earlier run can have granted none after that, so the time that
- * the process took to get here counts: after the loss of all processes it is half a second of the time without a leader.
- * @param startedAt - When the process started, in monotonic milliseconds.
- * @param jitter - In [0, 1): where in its time the first election falls due.
+ * Returns the state of a voter that starts from its stored log. The start of its process counts as contact with a leader, so that a lease that the
+ * voter granted before the restart is honoured. An earlier process cannot have granted a lease after that start, so the time that the process took
+ * to start counts towards this wait; after a crash of all processes this saves half a second without a leader.
+ * @param startedAt - Start time of the process, in monotonic milliseconds.
+ * @param jitter - A number in [0, 1) that selects the time of the first election within its range.
  */
 export const newConsensusState = (stored: StoredLog, settings: ConsensusSettings, startedAt: number, jitter = 0): ConsensusState => {
 	const lastIndex = stored.entries.at(-1)?.index ?? stored.snapshot.index;
--- a/packages/consensus/src/new-rejection.ts
+++ b/packages/consensus/src/new-rejection.ts
@@ -1,4 +1,4 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 
-/** Tells the proposer that nothing was appended. */
+/** Returns an effect that rejects a proposal, as nothing was appended to the log. */
 export const newRejection = (proposalId: string): ConsensusEffect[] => [{kind: 'proposalRejected', proposalId}];
--- a/packages/consensus/src/new-vote-requests.ts
+++ b/packages/consensus/src/new-vote-requests.ts
@@ -8,7 +8,7 @@
 	readonly isTransfer: boolean;
 };
 
-/** A request to every other voter for its vote, or for its word that it would give it. */
+/** Returns a vote request, or a pre-vote request, for each other voter. */
 export const newVoteRequests = (state: ConsensusState, election: Election): ConsensusEffect[] => state.voters
 	.filter(voter => voter.id !== state.selfId && !voter.isLearner)
 	.map(voter => ({
--- a/packages/consensus/src/peer-progress.ts
+++ b/packages/consensus/src/peer-progress.ts
@@ -1,9 +1,9 @@
-/** What the leader knows of another member. */
+/** The leader's record of how far another member has replicated the log. */
 export type PeerProgress = {
 	nextIndex: number;
 	matchIndex: number;
-	/** The leader's time of sending the newest message that was answered. */
+	/** Time at which the leader sent the newest message to which the member has replied, in monotonic milliseconds. */
 	ackedSentAt: number;
-	/** When this leader began to send to it. */
+	/** Time at which this leader began to send messages to the member, in monotonic milliseconds. */
 	joinedAt: number;
 };
--- a/packages/consensus/src/persist-effect.ts
+++ b/packages/consensus/src/persist-effect.ts
@@ -1,4 +1,4 @@
 import type {ConsensusEffect} from './consensus-effect.js';
 
-/** The effects that change what is stored. */
+/** An effect that changes the stored log or hard state. */
 export type PersistEffect = Extract<ConsensusEffect, {kind: 'persistHardState' | 'persistEntries' | 'persistSnapshot'}>;
--- a/packages/consensus/src/quorum-view.ts
+++ b/packages/consensus/src/quorum-view.ts
@@ -1,10 +1,10 @@
 import type {Voter} from './voter.js';
 
-/** What one voter knows of its quorum. */
+/** The state of a quorum as one of its voters sees it. */
 export type QuorumView = {
-	/** The members that have a vote. */
+	/** All members that have a vote. */
 	readonly voters: readonly Voter[];
-	/** Those among them that were heard lately, this voter included. */
+	/** The voters from which a message was received recently, and this voter itself. */
 	readonly heard: readonly Voter[];
 	readonly term: number;
 	readonly leader: Voter | undefined;
--- a/packages/consensus/src/snapshot.ts
+++ b/packages/consensus/src/snapshot.ts
@@ -1,10 +1,10 @@
 import type {Voter} from './voter.js';
 
-/** The state that replaces the log up to an index. */
+/** A snapshot of the state machine, which replaces the log entries up to an index. */
 export type Snapshot = {
 	readonly index: number;
 	readonly term: number;
 	readonly voters: readonly Voter[];
-	/** The state machine as JSON. */
+	/** State of the state machine, as JSON. */
 	readonly data: string;
 };
--- a/packages/consensus/src/stored-log.ts
+++ b/packages/consensus/src/stored-log.ts
@@ -2,7 +2,7 @@
 import type {LogEntry} from './log-entry.js';
 import type {Snapshot} from './snapshot.js';
 
-/** What a voter finds on its disk. */
+/** The log and hard state of a voter as stored on its disk. */
 export type StoredLog = {
 	readonly id: string;
 	readonly vm: string;
--- a/packages/consensus/src/voter.ts
+++ b/packages/consensus/src/voter.ts
@@ -1,4 +1,4 @@
-/** A member of the quorum. Its id is made on its disk and lost with it. */
+/** A member of the quorum. Its id is generated when its disk is initialised, and is lost with that disk. */
 export type Voter = {
 	readonly id: string;
 	readonly vm: string;
--- a/packages/consensus/tests/fake-voter.ts
+++ b/packages/consensus/tests/fake-voter.ts
@@ -129,8 +129,8 @@
 		return this.isUp && !this.isFrozen && hasOwnCommit && this.#toLocalTime(now) < getLeaseEnd(this.state, QUORUM_SETTINGS, this.#toLocalTime(now));
 	}
 
-	getReducedVoters(silenceMs: number, leastVoters: number, now: number): readonly Voter[] | undefined {
-		return getReducedVoters(this.state, silenceMs, this.#toLocalTime(now), leastVoters);
+	getReducedVoters(silenceMs: number, minVoters: number, now: number): readonly Voter[] | undefined {
+		return getReducedVoters(this.state, silenceMs, this.#toLocalTime(now), minVoters);
 	}
 
 	#toLocalTime(now: number): number {
--- a/packages/membership/src/entry-report.ts
+++ b/packages/membership/src/entry-report.ts
@@ -1,9 +1,9 @@
 import type {UnitDemand} from './unit-demand.js';
 
-/** What an entry says of its work in a heartbeat. */
+/** The heartbeat of an entry: its demand and its current work. */
 export type EntryReport = {
 	readonly vm: string;
-	/** The revision in force at the entry, -1 before the first. */
+	/** Revision of the configuration that the entry has applied, or -1 if it has none yet. */
 	readonly revision: number;
 	readonly demands: readonly UnitDemand[];
 	readonly inProgress: number;
--- a/packages/membership/src/get-demands.ts
+++ b/packages/membership/src/get-demands.ts
@@ -10,7 +10,7 @@
 	inProgress: left.inProgress + right.inProgress,
 });
 
-/** Demand by unit, summed over all entries. */
+/** Returns the demand for each unit, summed over all entries. */
 export const getDemands = (fleet: Fleet): ReadonlyMap<string, UnitDemand> => {
 	const demands = new Map<string, UnitDemand>();
 	for (const {report} of fleet.entries.values()) {
--- a/packages/membership/src/get-report-command.ts
+++ b/packages/membership/src/get-report-command.ts
@@ -2,7 +2,10 @@
 import {isRegistered} from './is-registered.js';
 import type {VmReport} from './vm-report.js';
 
-/** What a report calls for: the registration of a new run, or the release of replicas that are proved unloaded. */
+/**
+ * Returns the command that a report requires, if any: the registration of a new run of the agent or its upstream, or the release of replicas that
+ * are proved to be unloaded.
+ */
 export const getReportCommand = (intent: Intent, report: VmReport): Command | undefined => {
 	if (!isRegistered(intent, report)) {
 		return {
--- a/packages/membership/src/get-vm-orders.ts
+++ b/packages/membership/src/get-vm-orders.ts
@@ -1,7 +1,7 @@
 import {type Intent, getUnit, isDrained} from '@valelead/intent';
 import type {VmOrders} from './vm-orders.js';
 
-/** What the leader wants of one VM. To be sent only to the run of the agent that is registered. */
+/** Returns the target state of one VM. It may be sent only to the run of the agent that is registered. */
 export const getVmOrders = (intent: Intent, vm: string): VmOrders => ({
 	revision: intent.revision,
 	isDrained: isDrained(intent, vm),
--- a/packages/membership/src/is-live.ts
+++ b/packages/membership/src/is-live.ts
@@ -1,7 +1,7 @@
 import type {Fleet} from './fleet.js';
 import type {MembershipSettings} from './membership-settings.js';
 
-/** Whether a VM's lease holds. */
+/** True if the lease of a VM has not expired. */
 export const isLive = (fleet: Fleet, settings: MembershipSettings, vm: string, now: number): boolean => {
 	const received = fleet.vms.get(vm);
 	return received !== undefined && now - received.receivedAt < settings.leaseMs;
--- a/packages/membership/src/membership-settings.ts
+++ b/packages/membership/src/membership-settings.ts
@@ -1,7 +1,7 @@
-/** Timing of leases, in milliseconds. */
+/** Timing of the leases of VMs and entries, in milliseconds. */
 export type MembershipSettings = {
-	/** A VM or entry that is silent for longer gets no new work. */
+	/** A VM or entry that has sent no report for longer gets no new work. */
 	readonly leaseMs: number;
-	/** A VM that is silent for longer is taken as gone and its replicas as free; 0 waits for proof instead. */
+	/** A VM that has sent no report for longer is assumed lost, and the memory of its replicas free; with 0, the leader waits for proof instead. */
 	readonly assumeLostMs: number;
 };
--- a/packages/membership/src/new-fleet.ts
+++ b/packages/membership/src/new-fleet.ts
@@ -1,4 +1,4 @@
 import type {Fleet} from './fleet.js';
 
-/** Nothing heard yet. */
+/** Returns the state of a leader that has received no reports yet. */
 export const newFleet = (): Fleet => ({vms: new Map(), entries: new Map()});
--- a/packages/membership/src/unit-demand.ts
+++ b/packages/membership/src/unit-demand.ts
@@ -1,10 +1,10 @@
-/** What one entry has waiting for one unit. */
+/** The requests of one entry for one unit, a model or an adapter. */
 export type UnitDemand = {
 	readonly unit: string;
 	readonly waiting: number;
-	/** Sum over the waiting requests of the weights of their classes. */
+	/** Sum of the class weights of all waiting requests. */
 	readonly weight: number;
-	/** Remaining time of the waiting request that has most, in milliseconds. */
+	/** The longest time that any waiting request has left before its deadline, in milliseconds. */
 	readonly mostRemainingMs: number;
 	readonly arrivals: number;
 	readonly inProgress: number;
--- a/packages/membership/src/unit-report.ts
+++ b/packages/membership/src/unit-report.ts
@@ -1,8 +1,8 @@
-/** The state of one loaded unit. */
+/** The state of one loaded unit, as its VM reports it. */
 export type UnitReport = {
 	readonly unit: string;
 	readonly state: string;
 	readonly inProgress: number;
-	/** Time since its last request ended, in milliseconds. */
+	/** Time since the last request for the unit ended, in milliseconds. */
 	readonly idleMs: number;
 };
--- a/packages/membership/src/vm-orders.ts
+++ b/packages/membership/src/vm-orders.ts
@@ -1,4 +1,4 @@
-/** A grant as its VM learns of it. */
+/** A grant of memory for a replica, in the form in which it is sent to its VM. */
 type VmGrant = {
 	readonly id: string;
 	readonly unit: string;
@@ -8,7 +8,7 @@
 	readonly isRevoking: boolean;
 };
 
-/** What the leader wants of one VM at a revision. */
+/** The target state of one VM at a revision of the configuration. */
 export type VmOrders = {
 	readonly revision: number;
 	readonly isDrained: boolean;
--- a/packages/membership/src/vm-report.ts
+++ b/packages/membership/src/vm-report.ts
@@ -1,6 +1,6 @@
 import type {UnitReport} from './unit-report.js';
 
-/** What an agent says of its VM in a heartbeat. */
+/** The heartbeat of an agent: the state of its VM. */
 export type VmReport = {
 	readonly vm: string;
 	readonly dataCentre: string;
@@ -9,12 +9,12 @@
 	readonly upstreamIncarnation: string;
 	readonly memoryBytes: number;
 	readonly units: readonly UnitReport[];
-	/** Grants whose memory is proved free. */
+	/** Ids of the grants whose memory is proved to be free. */
 	readonly released: readonly string[];
 	readonly isLeaving: boolean;
 	readonly inProgress: number;
 	readonly capacity: number;
 	readonly service: string;
-	/** Units whose checkpoints lie on the VM's disk. */
+	/** Units whose checkpoints are stored on the VM's disk. */
 	readonly cached: readonly string[];
 };
