--- a/packages/consensus/src/get-reduced-voters.ts
+++ b/packages/consensus/src/get-reduced-voters.ts
@@ -7,7 +7,7 @@
 		return false;
 	}
 
-	// A new member counts as silent from its joining on, not from the start of the leader's term.
+	// The silence of a new member counts from its joining, not from the start of the leader's term.
 	return now - Math.max(progress.ackedSentAt, progress.joinedAt, state.leaderSince) > silenceMs;
 };
 
--- a/packages/consensus/tests/elections.steps.ts
+++ b/packages/consensus/tests/elections.steps.ts
@@ -10,11 +10,11 @@
 	assert.ok(mean <= limitMs, `${Math.round(mean)} ms`);
 };
 
-Then('after {int} of {int} voters were lost a leader is found within {int} ms in the mean of {int} seeds', (dead: number, voters: number, limitMs: number, count: number) => {
+Then('after {int} of {int} voters fail, a leader is elected within {int} ms in the mean of {int} seeds', (dead: number, voters: number, limitMs: number, count: number) => {
 	const times = Array.from({length: count}, (_, index) => getElectionMs(index + 1, {voters, dead, delayMs: DELAY_MS}));
 	checkMean(times, limitMs);
 });
 
-Then('after {int} voters were killed and {int} of them lost, the others find a leader within {int} ms in the mean of {int} seeds', (voters: number, lost: number, limitMs: number, count: number) => {
+Then('after {int} voters were killed and {int} of them lost, the others elect a leader within {int} ms in the mean of {int} seeds', (voters: number, lost: number, limitMs: number, count: number) => {
 	checkMean(Array.from({length: count}, (_, index) => getRestartElectionMs(index + 1, {voters, lost})), limitMs);
 });
--- a/packages/consensus/tests/fake-disk.ts
+++ b/packages/consensus/tests/fake-disk.ts
@@ -2,7 +2,7 @@
 	type PersistEffect, type StoredLog, mutateStoredLog,
 } from '@valelead/consensus';
 
-/** A disk that loses what was not synced when its voter crashes. */
+/** A simulated disk that loses all unsynced writes when its voter crashes. */
 export class FakeDisk {
 	#synced: StoredLog;
 
--- a/packages/consensus/tests/fake-formation.ts
+++ b/packages/consensus/tests/fake-formation.ts
@@ -3,7 +3,7 @@
 
 type Poll = {
 	readonly id: string;
-	/** When each other VM is looked at; a VM that is down answers nothing. */
+	/** Virtual time at which each other VM is queried, by index. A VM that is down does not answer. */
 	readonly queryAt: Map<number, number>;
 	readonly found: FoundVoter[];
 	readonly endsAt: number;
@@ -20,21 +20,21 @@
 	};
 };
 
-/** VMs with empty disks that ask each other who they are, as the daemon does, each answer at its own time. */
+/** Simulates VMs with empty disks that query each other to form a quorum, as the daemon does. Each answer arrives at its own random time. */
 export class FakeFormation {
 	readonly #random: () => number;
 	readonly #onFormed: (index: number, voters: readonly Voter[]) => void;
 	readonly #polls = new Map<number, Poll>();
-	/** What each voter would form, by its id. */
+	/** Ids of the voters with which each voter would form a quorum, by its own id. */
 	readonly #proposals = new Map<string, readonly string[]>();
 
-	/** @param onFormed - A VM starts with these voters; with none, it waits to be let in. */
+	/** @param onFormed - Called when a VM starts with the given voters; a VM without any waits to be admitted. */
 	constructor(random: () => number, onFormed: (index: number, voters: readonly Voter[]) => void) {
 		this.#random = random;
 		this.#onFormed = onFormed;
 	}
 
-	/** @param isReached - Whether a VM can be asked by another one. */
+	/** @param isReached - Returns true if messages from one VM reach another one. */
 	advance(now: number, voters: readonly FakeVoter[], isReached: (from: number, to: number) => boolean): void {
 		for (const [index, {record, isUp, isFrozen, isFormed}] of voters.entries()) {
 			const poll = this.#polls.get(index);
--- a/packages/consensus/tests/fake-quorum.ts
+++ b/packages/consensus/tests/fake-quorum.ts
@@ -21,32 +21,31 @@
 const JOIN_PHASE_MS = 70;
 const SILENT_VOTER_MS = 2000;
 
-/** A VM that came back with an empty disk counts as lost until it has a vote, at most for this time without any fault. */
+/** A VM that returned with an empty disk counts as lost until it has a vote, but not longer than this time without any fault. */
 const MAX_CATCH_UP_MS = 6000;
 
-/** Elections in a row whose votes are split; of eight voters with random timeouts, more are not to be seen. */
+/** Maximum number of successive elections with split votes. Eight voters with random timeouts do not produce more. */
 const MAX_SPLIT_ELECTIONS = 6;
 
-/** The first voter stands within two election timeouts after it last heard a leader, and each split election costs at most as much. */
+/** The first voter starts an election within two election timeouts after the last message of a leader, and each split vote costs at most as much. */
 const ELECTION_BOUND_MS = QUORUM_SETTINGS.electionTimeoutMs * 2 * (1 + MAX_SPLIT_ELECTIONS);
 
-/** A VM looks at the others within two calls that may time out after a second each, and their pauses. */
+/** A VM queries the others in two calls, each of which may time out after a second, with pauses between them. */
 const FORMATION_BOUND_MS = 2400;
 
-/** A change of voters is sent at once and committed by the answers; a lost message costs a heartbeat, and the commit index is learned with the next. */
+/** A change of voters is sent at once and committed by the replies. A lost message costs one heartbeat; the next one carries the commit index. */
 const COMMIT_BOUND_MS = QUORUM_SETTINGS.heartbeatMs * 2;
 
-/** A joiner is sent the log in three exchanges at most: where it disagrees, the snapshot, the entries. */
+/** A joining member receives the log in at most three exchanges: one finds the conflicting entry, one sends the snapshot, one sends the entries. */
 const COPY_BOUND_MS = QUORUM_SETTINGS.heartbeatMs * 3;
 
-/** Three changes let one VM in: the learner is added, its old identity leaves, it gets its vote. Each waits for one poll. */
+/** A VM is admitted in three changes: the learner is added, its old identity is removed, and it gets its vote. Each change waits for one poll. */
 const JOIN_BOUND_MS = (3 * (JOIN_POLL_MS + COMMIT_BOUND_MS)) + COPY_BOUND_MS;
 
 /**
- * Voters, a network that drops, delays, reorders, duplicates and cuts one way, and an oracle:
- * no two voters apply different entries at an index, no term has two leaders, no two voters hold a lease,
- * and whoever holds the lease has every acknowledged command. Once healed, there is a leader, every voter follows,
- * and all VMs are voters again.
+ * Simulates voters and a network that drops, delays, reorders and duplicates messages and blocks links in one direction. Its oracle checks that no
+ * two voters apply different entries at the same index, no term has two leaders, no two voters hold a lease at the same time, and the lease holder
+ * has every acknowledged command. Once all faults are healed, there must be a leader, every voter must follow it, and all VMs must be voters again.
  */
 export class FakeQuorum {
 	now = 0;
@@ -64,7 +63,7 @@
 	#nextId = 1;
 	readonly #options: QuorumOptions;
 	readonly #formation: FakeFormation;
-	/** For each VM, the time that it still counts as lost. */
+	/** For each VM, the remaining time in milliseconds for which it counts as lost. */
 	readonly #lostMs: number[];
 
 	constructor(seed: number, mutation: Mutation, site: QuorumOptions) {
@@ -108,7 +107,7 @@
 		this.voters[index].handle({kind: 'propose', proposalId, data: proposalId}, this.now);
 	}
 
-	/** The disk is gone: what was the voter comes back under a new identity that the quorum must let in. */
+	/** Replaces a voter's disk by an empty one: the VM returns with a new identity, which the quorum must admit. */
 	wipe(index: number): void {
 		const old = this.voters[index];
 		old.crash();
@@ -119,7 +118,9 @@
 		this.voters[index].isFormed = !this.#options.isForming;
 	}
 
-	/** Disks that are lost at the same moment, as far as so many may be. Their VMs are down, and come back empty. */
+	/**
+	 * Loses several disks at the same time, up to the number of losses that the quorum tolerates. Their VMs are down, and return with empty disks.
+	 */
 	loseDisks(indexes: readonly number[]): void {
 		for (const index of indexes) {
 			if (this.#lostMs[index] > 0 || this.lostCount < this.#options.losses) {
@@ -130,18 +131,18 @@
 		}
 	}
 
-	/** How many VMs count as lost. */
+	/** The number of VMs that count as lost. */
 	get lostCount(): number {
 		return this.#lostMs.filter(ms => ms > 0).length;
 	}
 
-	/** A process ends and keeps what its disk had taken. */
+	/** Ends a process, which keeps everything that its disk has synced. */
 	crash(index: number): void {
 		this.voters[index].crash();
 		this.#restartCatchUp();
 	}
 
-	/** All lose power at the same moment, and keep what their disks had taken. */
+	/** Simulates a power failure of all VMs, which keep everything that their disks have synced. */
 	losePower(): void {
 		for (const voter of this.voters) {
 			voter.crash();
@@ -150,7 +151,7 @@
 		this.#restartCatchUp();
 	}
 
-	/** Starts those that are down: all, or only those that did not lose their disks. */
+	/** Starts all voters that are down, or only those that did not lose their disks. */
 	restart(isWithLost: boolean): void {
 		for (const [index, voter] of this.voters.entries()) {
 			if (!voter.isUp && (isWithLost || this.#lostMs[index] === 0)) {
@@ -180,12 +181,12 @@
 		return this.voters.find(voter => voter.hasLease(this.now));
 	}
 
-	/** -1 while nobody leads. */
+	/** Index of the voter that holds the lease, or -1 if there is none. */
 	get leaderIndex(): number {
 		return this.voters.findIndex(voter => voter.hasLease(this.now));
 	}
 
-	/** Heals everything and checks that all VMs are voters again and every acknowledged command is applied at every voter. */
+	/** Heals all faults, then checks that all VMs are voters again and that every voter has applied every acknowledged command. */
 	settle(): void {
 		this.heal();
 		this.advance(this.#options.isForming ? FORMATION_BOUND_MS + ELECTION_BOUND_MS : ELECTION_BOUND_MS);
@@ -193,7 +194,7 @@
 		assert.ok(index !== undefined, 'a healed quorum has a leader');
 		this.advance(COMMIT_BOUND_MS);
 		for (const voter of this.voters.filter(({record}) => this.#isVoter(record))) {
-			assert.ok(voter.state.commitIndex >= index, `${voter.record.id} follows`);
+			assert.ok(voter.state.commitIndex >= index, `${voter.record.id} follows the leader`);
 		}
 
 		const missing = this.voters.filter(({record}) => !this.#isVoter(record)).length;
@@ -201,7 +202,7 @@
 		this.#checkRecovered();
 	}
 
-	/** Whether anything but the loss of disks hinders the quorum. */
+	/** True if the quorum is affected by any fault other than the loss of disks. */
 	get #isFaulty(): boolean {
 		const isHindered = this.voters.some((voter, index) => voter.isFrozen || voter.isDiskSlow || (!voter.isUp && this.#lostMs[index] === 0));
 		return isHindered || this.#blockedLinks.size > 0 || this.lossProbability > 0;
@@ -221,12 +222,12 @@
 		const counted = leader.state.voters.map(({id, isLearner}) => isLearner ? `${id} (learner)` : id).sort();
 		assert.deepEqual(counted, this.voters.map(voter => voter.record.id).sort(), 'all VMs are voters');
 		for (const voter of this.voters) {
-			assert.equal(voter.state.commitIndex, leader.state.commitIndex, 'every voter follows');
+			assert.equal(voter.state.commitIndex, leader.state.commitIndex, 'every voter has the leader\'s commit index');
 			assert.deepEqual(voter.state.voters, leader.state.voters, 'every voter knows the same voters');
 		}
 
 		for (const [proposalId, index] of this.acknowledged) {
-			assert.equal(this.#appliedByIndex.get(index), `command:${proposalId}`, `${proposalId} stays where it was acknowledged`);
+			assert.equal(this.#appliedByIndex.get(index), `command:${proposalId}`, `${proposalId} remains at the index at which it was acknowledged`);
 		}
 	}
 
@@ -294,7 +295,9 @@
 		}
 	}
 
-	/** Each voter in turn asks to be let in where it has no vote, or may have none, and lets silent ones go where it leads, as the daemon does. */
+	/**
+	 * Lets each voter in turn ask to join if it has no vote or may have lost it, and remove a silent voter if it is the leader, as the daemon does.
+	 */
 	#updateMembership(): void {
 		for (const [index, voter] of this.voters.entries()) {
 			const isDue = (this.now + (index * JOIN_PHASE_MS)) % JOIN_POLL_MS < STEP_MS;
@@ -334,7 +337,10 @@
 		}
 	}
 
-	/** With any fault, such as messages lost, what a joiner needs has no bound: its time begins anew. */
+	/**
+	 * Counts down the time for which VMs count as lost. It starts again with any fault, such as lost messages, as a VM may then need any time to
+	 * join.
+	 */
 	#advanceCatchUp(): void {
 		const {leader} = this;
 		const isFaulty = this.#isFaulty;
@@ -352,7 +358,7 @@
 	#checkApplied(id: string, entry: LogEntry): void {
 		const value = `${entry.kind}:${entry.data}`;
 		const applied = this.#appliedByIndex.get(entry.index);
-		assert.ok(applied === undefined || applied === value, `${id} applies ${value} at ${entry.index}, another applied ${applied}`);
+		assert.ok(applied === undefined || applied === value, `${id} applies ${value} at ${entry.index}, but another voter applied ${applied}`);
 		this.#appliedByIndex.set(entry.index, value);
 	}
 
--- a/packages/consensus/tests/fake-voter.ts
+++ b/packages/consensus/tests/fake-voter.ts
@@ -10,28 +10,28 @@
 	readonly onSend: (from: string, to: string, message: ConsensusMessage) => void;
 	readonly onApply: (id: string, entry: LogEntry) => void;
 	readonly onCommitted: (proposalId: string, index: number) => void;
-	/** It runs again and has not looked at its messages yet: a read may be served first. */
+	/** Called when the voter has resumed but has not processed its queued messages yet; it may serve a read before them. */
 	readonly onThawed: () => void;
 };
 
-/** One voter over virtual time: the shipping state machine with a disk that can be slow, lost or torn. */
+/** Runs one voter on virtual time: the production state machine with a disk that may be slow or lost, or lose its last unsynced writes. */
 export class FakeVoter {
 	readonly disk: FakeDisk;
 	state: ConsensusState;
 	isUp = true;
 	isFrozen = false;
 	isDiskSlow = false;
-	/** Whether it has started with what it knows of a quorum. */
+	/** True if the voter has started as a member of a quorum; false while it still looks for one. */
 	isFormed = true;
-	/** Highest index applied since the last start or restore. */
+	/** Entries applied since the last start. */
 	applied: LogEntry[] = [];
-	/** Time that the voter's clock has missed in suspensions, and since when it is suspended. */
+	/** Time in milliseconds that the voter's clock has missed in suspensions, and the start of the current suspension. */
 	#missedMs = 0;
 	#suspendedAt: number | undefined;
 	readonly #events: VoterEvents;
 	readonly #mutation: Mutation;
 	#unsynced: ConsensusEffect[] = [];
-	/** Events that arrived while frozen. */
+	/** Messages that arrived while the voter was frozen. */
 	#inbox: ConsensusEvent[] = [];
 
 	constructor(readonly record: Voter, stored: StoredLog, now: number, mutation: Mutation, events: VoterEvents) {
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Writes all that is pending, then carries out what had to wait for it. */
+	/** Writes all pending effects to the disk, then executes the effects that had to wait for them. */
 	sync(now: number): void {
 		while (this.#unsynced.length > 0 && this.isUp && !this.isFrozen) {
 			const batch = this.#unsynced;
@@ -90,7 +90,7 @@
 		this.#inbox = [];
 	}
 
-	/** @param jitter - Where in its time the first election falls due. */
+	/** @param jitter - A number in [0, 1) that selects the time of the first election within its range. */
 	restart(now: number, jitter = 0): void {
 		this.isUp = true;
 		this.applied = [];
@@ -100,7 +100,7 @@
 		}
 	}
 
-	/** Stands still as in a freeze, and its clock too. */
+	/** Freezes the voter and also stops its clock. */
 	suspend(now: number): void {
 		if (this.isUp && !this.isFrozen) {
 			this.isFrozen = true;
--- a/packages/consensus/tests/fault-commands.ts
+++ b/packages/consensus/tests/fault-commands.ts
@@ -2,7 +2,7 @@
 import {newQuorumCommand} from './new-quorum-command.js';
 import type {QuorumCommand} from './quorum-command.js';
 
-/** Proposals, faults that keep disks, and the passing of time, in any order and mix. */
+/** Returns fuzz commands for proposals, for faults that lose no disk, and for the passing of time. */
 export const newFaultCommands = (size: number): ReadonlyArray<fc.Arbitrary<QuorumCommand>> => {
 	const anyVoter = fc.nat({max: size - 1});
 	return [
@@ -54,7 +54,7 @@
 		anyVoter.map(voter => newQuorumCommand(`slow disk ${voter}`, quorum => {
 			quorum.voters[voter].isDiskSlow = true;
 		})),
-		fc.tuple(anyVoter, anyVoter).map(([from, to]) => newQuorumCommand(`cut ${from} to ${to}`, quorum => {
+		fc.tuple(anyVoter, anyVoter).map(([from, to]) => newQuorumCommand(`block the link from ${from} to ${to}`, quorum => {
 			quorum.blockLink(from, to);
 		})),
 		anyVoter.map(voter => newQuorumCommand(`isolate ${voter}`, quorum => {
@@ -63,7 +63,7 @@
 				quorum.blockLink(other, voter);
 			}
 		})),
-		fc.tuple(anyVoter, anyVoter).map(([left, right]) => newQuorumCommand(`part ${left} and ${right}`, quorum => {
+		fc.tuple(anyVoter, anyVoter).map(([left, right]) => newQuorumCommand(`partition ${left} and ${right}`, quorum => {
 			quorum.blockLink(left, right);
 			quorum.blockLink(right, left);
 			quorum.advance(1000);
@@ -81,7 +81,7 @@
 
 			quorum.heal();
 		})),
-		anyVoter.map(voter => newQuorumCommand(`part the leader from ${voter} while another keeps restarting`, quorum => {
+		anyVoter.map(voter => newQuorumCommand(`partition the leader and ${voter} while another voter keeps restarting`, quorum => {
 			const leader = quorum.leaderIndex;
 			if (leader === -1 || leader === voter) {
 				return;
@@ -106,7 +106,7 @@
 			quorum.duplicateProbability = 0.2;
 			quorum.delayMs = 150;
 		})),
-		anyVoter.map(voter => newQuorumCommand(`hand over to ${voter}`, quorum => {
+		anyVoter.map(voter => newQuorumCommand(`transfer leadership to ${voter}`, quorum => {
 			const target = quorum.voters[voter].record.id;
 			quorum.leader?.handle({kind: 'transfer', to: target}, quorum.now);
 		})),
--- a/packages/consensus/tests/get-election-ms.ts
+++ b/packages/consensus/tests/get-election-ms.ts
@@ -3,9 +3,9 @@
 
 type Loss = {
 	readonly voters: number;
-	/** Voters that are lost at once, the leader among them. */
+	/** Number of voters that fail at the same time, including the leader. */
 	readonly dead: number;
-	/** The longest time that a message takes between voters. */
+	/** Maximum time in milliseconds that a message between voters takes. */
 	readonly delayMs: number;
 };
 
@@ -14,12 +14,12 @@
 const PHASE_STEPS = 10;
 const LIMIT_MS = 20_000;
 
-/** The time without a leader after voters were lost at once, in milliseconds. */
+/** Returns the time without a leader after several voters fail at the same time, in milliseconds. */
 export const getElectionMs = (seed: number, {voters, dead, delayMs}: Loss): number => {
 	const random = newRandom(seed);
 	const quorum = new FakeQuorum(seed, 'none', {size: voters, losses: dead});
 	quorum.delayMs = delayMs;
-	// The loss falls anywhere between two heartbeats.
+	// The failure occurs at a random time between two heartbeats.
 	quorum.advance(FORM_MS + (STEP_MS * Math.floor(random() * PHASE_STEPS)));
 	while (!quorum.leader) {
 		quorum.advance(STEP_MS);
--- a/packages/consensus/tests/get-restart-election-ms.ts
+++ b/packages/consensus/tests/get-restart-election-ms.ts
@@ -3,7 +3,7 @@
 
 type Restart = {
 	readonly voters: number;
-	/** Voters that do not come back, or come back with an empty disk. */
+	/** Number of voters that do not return, or return with an empty disk. */
 	readonly lost: number;
 };
 
@@ -11,7 +11,7 @@
 const STEP_MS = 10;
 const LIMIT_MS = 20_000;
 
-/** The time without a leader after all voters were killed and those that keep their disks start at the same moment, in milliseconds. */
+/** Returns the time without a leader after all voters were killed and those that keep their disks start at the same time, in milliseconds. */
 export const getRestartElectionMs = (seed: number, {voters, lost}: Restart): number => {
 	const random = newRandom(seed);
 	const quorum = new FakeQuorum(seed, 'none', {size: voters, losses: lost});
--- a/packages/consensus/tests/get-tolerated-sets.ts
+++ b/packages/consensus/tests/get-tolerated-sets.ts
@@ -1,9 +1,9 @@
 import type {Voter} from '@valelead/consensus';
 
 type ToleratedSets = {
-	/** The most further members that may be lost, whichever they are, while a majority of the votes is left. */
+	/** Maximum number of further members that may be lost, whichever they are, so that a majority of the votes remains. */
 	readonly losses: number;
-	/** The sets of further lost members, of all sets, that leave a majority of the votes. */
+	/** Number of sets of further lost members that leave a majority of the votes. */
 	readonly sets: number;
 };
 
@@ -11,7 +11,7 @@
 
 const isIn = (mask: number, position: number): boolean => Math.floor(mask / (2 ** position)) % 2 === 1;
 
-/** Tries every set of further lost members, where those on dead machines are lost already. */
+/** Tries every set of further lost members, in addition to the members that have failed already. */
 export const getToleratedSets = (members: readonly Voter[], dead: ReadonlySet<string>): ToleratedSets => {
 	const live = members.filter(({id}) => !dead.has(id));
 	const needed = Math.floor(members.filter(({isLearner}) => !isLearner).length / 2) + 1;
--- a/packages/consensus/tests/hand-over.feature
+++ b/packages/consensus/tests/hand-over.feature
@@ -1,12 +1,13 @@
-Feature: Hand-over
-  # Seen by reading: a planned stop of the leader could hand over to a voter that is gone; nobody leads for two election timeouts then.
-  # Came about: a voter that died since the last commit has followed as far as the others, and the first in the list was taken.
-  # Cause: only how far a voter has followed was looked at, not whether it is heard.
-  # Proof: the message that asks to take over goes to the voter that is gone.
-  Scenario Outline: A planned stop hands over to a voter that is heard
-    Given a leader "a" with voters "b c", all of which have followed as far
-    When "<gone>" are gone for <ms> ms and the leader hands over
-    Then the voter that is asked to take over is "<asked>"
+Feature: Leadership transfer
+  # Failure, found by review: a planned stop of the leader could transfer leadership to a voter that has failed; the quorum then has no leader for
+  # two election timeouts.
+  # Cause: the target was chosen only by how much of the log it has, not by whether it is reachable. A voter that failed after the last commit has
+  # as many entries as the others, and the first one in the list was chosen.
+  # Evidence: the message that starts the transfer is sent to the failed voter.
+  Scenario Outline: A planned stop transfers leadership to a reachable voter
+    Given a leader "a" with voters "b c", all of which have the whole log
+    When "<gone>" are unreachable for <ms> ms and the leader transfers leadership
+    Then the voter that is asked to become leader is "<asked>"
 
     Examples:
       | gone | ms  | asked  |
--- a/packages/consensus/tests/hand-over.steps.ts
+++ b/packages/consensus/tests/hand-over.steps.ts
@@ -10,7 +10,7 @@
 	time: VirtualTime;
 	node: ConsensusNode;
 	unreachable: readonly string[];
-	/** Who was asked to take over. */
+	/** The voter that was asked to become leader. */
 	asked: string;
 };
 
@@ -21,7 +21,7 @@
 	id, vm: id, address: id, isLearner: false,
 });
 
-/** What a voter answers that agrees to everything. */
+/** Returns the reply of a voter that agrees to every request, if the message expects a reply. */
 const newReply = (message: ConsensusMessage): ConsensusMessage | undefined => {
 	switch (message.kind) {
 		case 'voteRequest': {
@@ -62,7 +62,7 @@
 	}
 };
 
-Given('a leader {string} with voters {string}, all of which have followed as far', async function (this: TransferWorld, leader: string, others: string) {
+Given('a leader {string} with voters {string}, all of which have the whole log', async function (this: TransferWorld, leader: string, others: string) {
 	this.time = new VirtualTime();
 	this.unreachable = [];
 	this.asked = 'nobody';
@@ -101,7 +101,7 @@
 	assert.ok(this.node.isCurrentLeader);
 });
 
-When('{string} are gone for {int} ms and the leader hands over', async function (this: TransferWorld, gone: string, ms: number) {
+When('{string} are unreachable for {int} ms and the leader transfers leadership', async function (this: TransferWorld, gone: string, ms: number) {
 	this.unreachable = gone.split(' ');
 	await advance(this.time, ms);
 	assert.ok(this.node.isLeader);
@@ -110,6 +110,6 @@
 	await this.node.stop();
 });
 
-Then('the voter that is asked to take over is {string}', function (this: TransferWorld, asked: string) {
+Then('the voter that is asked to become leader is {string}', function (this: TransferWorld, asked: string) {
 	assert.equal(this.asked, asked);
 });
--- a/packages/consensus/tests/loss-commands.ts
+++ b/packages/consensus/tests/loss-commands.ts
@@ -7,7 +7,7 @@
 const CATCH_UP_MS = 6500;
 const STEP_MS = 10;
 
-/** Lets all come back and waits for so many changes of voters, with a command after each, in which joiners are let in. */
+/** Restarts all voters and waits until joining members have caused the given number of voter changes, with a command after each change. */
 const mutateUntilVotersChanged = (quorum: FakeQuorum, changes: number): void => {
 	quorum.restart(true);
 	let index = quorum.leader?.state.votersIndex;
@@ -23,7 +23,7 @@
 	}
 };
 
-/** Losses of as many disks as may be lost at once, and the return of their VMs, at any moment. */
+/** Returns fuzz commands that lose as many disks at once as the quorum tolerates, and restart their VMs, at random times. */
 export const newLossCommands = ({size, losses}: QuorumOptions): ReadonlyArray<fc.Arbitrary<QuorumCommand>> => {
 	const anyVoters = fc.uniqueArray(fc.nat({max: size - 1}), {minLength: losses, maxLength: losses});
 	const soon = fc.integer({min: 0, max: 100});
@@ -100,7 +100,7 @@
 			quorum.losePower();
 			quorum.restart(false);
 		})),
-		fc.tuple(fc.integer({min: 1, max: 5}), soon, fc.nat({max: size - 1})).map(([changes, ms, voter]) => newQuorumCommand(`cut the leader from ${voter} ${ms} after ${changes} changes`, quorum => {
+		fc.tuple(fc.integer({min: 1, max: 5}), soon, fc.nat({max: size - 1})).map(([changes, ms, voter]) => newQuorumCommand(`split the leader and ${voter} ${ms} after ${changes} changes`, quorum => {
 			mutateUntilVotersChanged(quorum, changes);
 			quorum.advance(ms);
 			const leader = Math.max(0, quorum.leaderIndex);
--- a/packages/consensus/tests/losses.steps.ts
+++ b/packages/consensus/tests/losses.steps.ts
@@ -11,7 +11,7 @@
 const STEP_MS = 10;
 const SUSPENDED = 2;
 
-/** The answers to what the voter sent last are on their way for so long. */
+/** Time in which the replies to the last messages of the suspended voter are sent. */
 const REPLY_MS = 50;
 
 const mutateIsolated = (quorum: FakeQuorum, isolated: number): void => {
@@ -21,29 +21,29 @@
 	}
 };
 
-Given('a quorum of {int} voters that must bear {int} losses', function (this: LossWorld, size: number, losses: number) {
+Given('a quorum of {int} voters that must tolerate {int} losses', function (this: LossWorld, size: number, losses: number) {
 	this.quorum = new FakeQuorum(1, 'none', {size, losses});
 	this.quorum.advance(START_MS);
 });
 
-When('a follower is cut off for {int} ms', function (this: LossWorld, ms: number) {
+When('a follower is partitioned for {int} ms', function (this: LossWorld, ms: number) {
 	const {quorum} = this;
 	this.isolated = (quorum.leaderIndex + 1) % quorum.voters.length;
 	mutateIsolated(quorum, this.isolated);
 	quorum.advance(ms);
 });
 
-Then('it is let go', function (this: LossWorld) {
+Then('the follower is removed', function (this: LossWorld) {
 	const {id} = this.quorum.voters[this.isolated].record;
 	const counted = this.quorum.leader?.state.voters.map(voter => voter.id);
 	assert.equal(counted?.includes(id), false);
 });
 
-Then('once all is healed, all VMs are voters again', function (this: LossWorld) {
+Then('once all faults are healed, all VMs are voters again', function (this: LossWorld) {
 	this.quorum.settle();
 });
 
-Then('in none of {int} quorums of {int} voters do two hold a lease after the third voter was suspended for {int} ms, with nothing but answers to hear', (count: number, size: number, ms: number) => {
+Then('in none of {int} quorums of {int} voters do two hold a lease after the third voter was suspended for {int} ms and received only replies', (count: number, size: number, ms: number) => {
 	for (let seed = 0; seed < count; seed += 1) {
 		const quorum = new FakeQuorum(seed, 'none', {size, losses: (size - 1) / 2});
 		quorum.advance(START_MS);
@@ -55,7 +55,7 @@
 	}
 });
 
-Then('{int} quorums of {int} voters that lose {int} disks in their first {int} ms come to one set of voters with all VMs', (count: number, size: number, losses: number, ms: number) => {
+Then('{int} quorums of {int} voters that lose {int} disks in their first {int} ms agree on one set of voters with all VMs', (count: number, size: number, losses: number, ms: number) => {
 	for (let seed = 0; seed < count; seed += 1) {
 		const quorum = new FakeQuorum(seed, 'none', {size, losses, isForming: true});
 		quorum.advance(ms * (seed + 1) / count);
@@ -64,7 +64,7 @@
 	}
 });
 
-Given('{int} VMs with empty disks that must bear {int} losses, from seed {int}', function (this: LossWorld, size: number, losses: number, seed: number) {
+Given('{int} VMs with empty disks that must tolerate {int} losses, from seed {int}', function (this: LossWorld, size: number, losses: number, seed: number) {
 	this.quorum = new FakeQuorum(seed, 'none', {size, losses, isForming: true});
 });
 
@@ -76,7 +76,7 @@
 	quorum.restart(true);
 });
 
-When('all lose power for {int} ms after {int} ms', function (this: LossWorld, downMs: number, backMs: number) {
+When('all VMs lose power for {int} ms after {int} ms', function (this: LossWorld, downMs: number, backMs: number) {
 	const {quorum} = this;
 	quorum.advance(backMs);
 	quorum.losePower();
--- a/packages/consensus/tests/membership.feature
+++ b/packages/consensus/tests/membership.feature
@@ -1,8 +1,8 @@
 Feature: Membership
-  Voters leave and join one at a time while others are lost.
+  Voters are removed and added one at a time while others fail.
 
-  Scenario Outline: A voter that was let go is safe to take back with its disk
-    Then in 100 quorums of <voters> voters one that was let go while it was down follows again, and nothing acknowledged is undone
+  Scenario Outline: A removed voter can safely rejoin with its old disk
+    Then in 100 quorums of <voters> voters a voter that was removed while it was down follows again, and no acknowledged command is undone
 
     Examples:
       | voters |
@@ -10,23 +10,24 @@
       | 6      |
       | 8      |
 
-  # Seen: a controller with an empty disk was let in, was let go as silent 33 ms later, and was let in again 0.3 s after that.
-  # Came about: the leader looked for silent members before the learner's first answer had come, which a slow disk or a large snapshot delays.
-  # Cause: a member that has not answered yet counted as silent since the leader took office, however long ago that was.
-  # Proof: the leader's log names the learner as silent; counted from its joining, it stays until it was silent for 2 s.
-  Scenario: A learner has time to answer
+  # Failure: a controller with an empty disk was admitted, was removed as silent 33 ms later, and was admitted again 0.3 s after that.
+  # Cause: a member that had not replied yet counted as silent since the start of the leader's term, however long ago that was. The leader looked
+  # for silent members before the learner's first reply had arrived, which a slow disk or a large snapshot delays.
+  # Evidence: the leader's log names the learner as silent; counted from its joining, the learner stays until it has been silent for 2 s.
+  Scenario: A learner has time to reply
     Given a leader that has led 3 voters for 60000 ms
     When a learner joins
-    Then 300 ms later nobody is let go as silent for 2000 ms
-    And 1900 ms later nobody is let go as silent for 2000 ms
-    And 2100 ms later the learner is let go as silent for 2000 ms
+    Then 300 ms later nobody is removed as silent for 2000 ms
+    And 1900 ms later nobody is removed as silent for 2000 ms
+    And 2100 ms later the learner is removed as silent for 2000 ms
 
-  # Voters that lost their disks at once are replaced one after the other. After each step, from the loss on: the further losses that are borne, whichever
-  # they are, and how many sets of further lost members leave a majority. The old identity is dead and the new one is as likely lost as any other member.
-  Scenario Outline: A lost identity leaves before the one that replaces it votes, as that bears more
+  # Voters that lost their disks at the same time are replaced one after the other. The last two columns have one pair for each step, beginning with
+  # the loss: the number of further losses that are tolerated, whichever members are lost, and the number of sets of further lost members that leave
+  # a majority. The old identity has failed, and the new one is as likely to be lost as any other member.
+  Scenario Outline: A lost identity is removed before its replacement votes, which tolerates more losses
     Given <voters> voters of which <lost> have lost their disks at once
-    Then these losses are borne after each step if the old one leaves first "<leaves first>", if the new one votes first "<votes first>"
-    And the order in use is the one where the old one leaves first, and bears at least as much after each step
+    Then these losses are tolerated after each step, old identity leaves first: "<leaves first>", new one votes first: "<votes first>"
+    And the order in use is the one in which the old identity leaves first, and it tolerates at least as much after each step
 
     Examples:
       | voters | lost | leaves first                         | votes first                          |
@@ -39,13 +40,13 @@
       | 6      | 2    | 0:1 0:2 1:10 1:6 1:12 2:32 2:22      | 0:1 0:2 1:6 1:6 1:12 2:22 2:22       |
       | 8      | 2    | 1:7 1:14 2:44 2:29 2:58 3:128 3:93   | 1:7 1:14 2:29 2:29 2:58 3:93 3:93    |
 
-  # Why an acknowledgement waits for voters and not for copies.
-  Scenario: With fewer voters than the stated losses need these losses end the quorum, however many copies there are
-    Then up to 4 losses are borne by twice as many voters and one more, and by no fewer
+  # This is the reason that an acknowledgement waits for more voters and not for more copies.
+  Scenario: With fewer voters than the configured losses require, these losses end the quorum, however many copies exist
+    Then up to 4 losses are tolerated by twice as many voters plus one, and by no fewer
 
-  Scenario Outline: An acknowledgement waits for voters only where they may still come
+  Scenario Outline: An acknowledgement waits for more voters only while they may still join
     Given a leader of <voters> voters, the last of which joined <ms> ms ago
-    Then it waits for more where <losses> losses must be borne: <waits>
+    Then an acknowledgement waits for more voters if <losses> losses must be tolerated: <waits>
 
     Examples:
       | voters | losses | ms   | waits |
@@ -57,9 +58,9 @@
       | 3      | 1      | 100  | no    |
       | 1      | 2      | 2100 | no    |
 
-  Scenario Outline: Who asks to be let in
-    Given members "<members>" of VMs of the same letter, learners with a question mark
-    Then "<asking>", caught up: <is caught up>, is let in by "<next>"
+  Scenario Outline: A member that asks to join is admitted step by step
+    Given members "<members>", each named by the letter of its VM and a number, with a question mark for learners
+    Then when "<asking>" asks to join, caught up: <is caught up>, the next members are "<next>"
 
     Examples:
       | members     | asking | is caught up | next          |
--- a/packages/consensus/tests/membership.steps.ts
+++ b/packages/consensus/tests/membership.steps.ts
@@ -30,7 +30,10 @@
 	}
 };
 
-/** As leader, lets the voter go that is down, and sometimes forgets the entries that it has not got. */
+/**
+ * Lets the leader remove a voter that is down, and compact its log if requested, so that the leader no longer has the entries that this voter
+ * lacks.
+ */
 const removeVoter = (quorum: FakeQuorum, gone: string, isCompacted: boolean): void => {
 	const {state} = quorum.leader!;
 	quorum.leader!.handle({kind: 'configure', proposalId: 'let go', voters: state.voters.filter(voter => voter.id !== gone)}, quorum.now);
@@ -48,7 +51,8 @@
 	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	const position = (quorum.leaderIndex + 1 + Math.floor(random() * (size - 1))) % size;
 	const gone = quorum.voters[position];
-	// An entry may still be on its way to it, so that its log is longer than what is committed, or shorter.
+	// The voter may crash before it has stored this entry or before the entry is committed, so its log may be shorter or longer than the committed
+	// one.
 	quorum.voters[position].isDiskSlow = random() < 0.5;
 	quorum.propose(quorum.leaderIndex);
 	quorum.advance(10);
@@ -65,7 +69,7 @@
 	assert.ok(quorum.leader!.state.voters.some(voter => voter.id === gone.record.id && !voter.isLearner), `seed ${seed}: it votes again under its id`);
 };
 
-Then('in {int} quorums of {int} voters one that was let go while it was down follows again, and nothing acknowledged is undone', (count: number, size: number) => {
+Then('in {int} quorums of {int} voters a voter that was removed while it was down follows again, and no acknowledged command is undone', (count: number, size: number) => {
 	for (let seed = 1; seed <= count; seed += 1) {
 		checkReturn(seed, size);
 	}
@@ -96,11 +100,11 @@
 	return state.voters.filter(voter => !kept.includes(voter)).map(({id}) => id);
 };
 
-Then('{int} ms later nobody is let go as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
+Then('{int} ms later nobody is removed as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
 	assert.deepEqual(getRemovedIds(this, laterMs, silenceMs), []);
 });
 
-Then('{int} ms later the learner is let go as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
+Then('{int} ms later the learner is removed as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
 	assert.deepEqual(getRemovedIds(this, laterMs, silenceMs), ['learner']);
 });
 
@@ -110,7 +114,7 @@
 
 type NextStep = typeof getNextMembership;
 
-/** The order that is not in use: the new identity votes before the old one leaves. */
+/** Returns the next configuration in the order that is not in use: the new identity votes before the old one is removed. */
 const getNextWithEarlyVote: NextStep = (voters, wished) => {
 	const known = voters.find(({id}) => id === wished.id);
 	if (!known) {
@@ -125,7 +129,7 @@
 	return rest.length < voters.length ? rest : undefined;
 };
 
-/** All configurations from the loss on. */
+/** Returns the configurations after the loss and after each replacement step. */
 const getSteps = ({voters, lost}: MembershipWorld, getNext: NextStep): Array<readonly Voter[]> => {
 	const steps: Array<readonly Voter[]> = [voters];
 	for (const {vm} of voters.slice(0, lost)) {
@@ -152,12 +156,12 @@
 	this.lost = lost;
 });
 
-Then('these losses are borne after each step if the old one leaves first {string}, if the new one votes first {string}', function (this: MembershipWorld, leavesFirst: string, votesFirst: string) {
+Then('these losses are tolerated after each step, old identity leaves first: {string}, new one votes first: {string}', function (this: MembershipWorld, leavesFirst: string, votesFirst: string) {
 	assert.equal(getText(getToleratedAfterEachStep(this, getNextMembership)), leavesFirst);
 	assert.equal(getText(getToleratedAfterEachStep(this, getNextWithEarlyVote)), votesFirst);
 });
 
-Then('the order in use is the one where the old one leaves first, and bears at least as much after each step', function (this: MembershipWorld) {
+Then('the order in use is the one in which the old identity leaves first, and it tolerates at least as much after each step', function (this: MembershipWorld) {
 	const used = getToleratedAfterEachStep(this, getNextMembership);
 	const other = getToleratedAfterEachStep(this, getNextWithEarlyVote);
 	assert.equal(used.length, other.length);
@@ -166,7 +170,7 @@
 	}
 });
 
-Then('up to {int} losses are borne by twice as many voters and one more, and by no fewer', (most: number) => {
+Then('up to {int} losses are tolerated by twice as many voters plus one, and by no fewer', (most: number) => {
 	for (let losses = 1; losses <= most; losses += 1) {
 		for (let count = 1; count <= (2 * losses) + 1; count += 1) {
 			const voters = Array.from({length: count}, (_, index) => newMember(`vm-${index}`, ''));
@@ -186,17 +190,17 @@
 	}
 });
 
-Then('it waits for more where {int} losses must be borne: {word}', function (this: MembershipWorld, losses: number, isWaiting: string) {
+Then('an acknowledgement waits for more voters if {int} losses must be tolerated: {word}', function (this: MembershipWorld, losses: number, isWaiting: string) {
 	assert.equal(isGrowing(this.state, getLeastVoters(losses), GROWTH_MS, this.quorum.now), isWaiting === 'yes');
 });
 
 const toMember = (text: string): Voter => ({...newMember(text[0], text[1]), isLearner: text.endsWith('?')});
 
-Given('members {string} of VMs of the same letter, learners with a question mark', function (this: MembershipWorld, members: string) {
+Given('members {string}, each named by the letter of its VM and a number, with a question mark for learners', function (this: MembershipWorld, members: string) {
 	this.voters = members.split(' ').map(text => toMember(text));
 });
 
-Then('{string}, caught up: {word}, is let in by {string}', function (this: MembershipWorld, asking: string, isCaughtUp: string, next: string) {
+Then('when {string} asks to join, caught up: {word}, the next members are {string}', function (this: MembershipWorld, asking: string, isCaughtUp: string, next: string) {
 	const members = getNextMembership(this.voters, toMember(asking), isCaughtUp === 'yes');
 	assert.equal(members?.map(({id, isLearner}) => `${id}${isLearner ? '?' : ''}`).join(' ') ?? 'nothing', next);
 });
--- a/packages/consensus/tests/mutation.ts
+++ b/packages/consensus/tests/mutation.ts
@@ -1,4 +1,4 @@
-/** A mechanism that a test turns off to see the check fail; `none` is the shipping behaviour. */
+/** A mechanism that a test disables to verify that the check then fails. With `none`, the production behaviour is tested. */
 export type Mutation =
 	| 'none'
 	| 'send before sync'
--- a/packages/consensus/tests/new-loss-fuzz.ts
+++ b/packages/consensus/tests/new-loss-fuzz.ts
@@ -7,7 +7,10 @@
 import type {Mutation} from './mutation.js';
 import type {QuorumOptions} from './quorum-options.js';
 
-/** Fuzzes a quorum that loses as many disks at once as it must bear. With too few voters, one is left where a majority is needed. */
+/**
+ * Returns a function that fuzzes a quorum which loses as many disks at once as it must tolerate. With the mutation `too few voters`, only one voter
+ * remains after such a loss, although a majority is needed.
+ */
 export const newLossFuzz = (site: QuorumOptions) => (options: FuzzOptions<Mutation>): FuzzResult => {
 	const played = options.mutation === 'too few voters' ? {...site, size: site.losses + 1} : site;
 	return runFuzz({
--- a/packages/consensus/tests/new-quorum-command.ts
+++ b/packages/consensus/tests/new-quorum-command.ts
@@ -1,7 +1,7 @@
 import type {QuorumCommand} from './quorum-command.js';
 import type {FakeQuorum} from './fake-quorum.js';
 
-/** A named step of a fuzzing run. */
+/** Returns a named step of a fuzzing run. */
 export const newQuorumCommand = (text: string, run: (quorum: FakeQuorum) => void): QuorumCommand => ({
 	check: () => true,
 	run(_model, quorum) {
--- a/packages/consensus/tests/node.steps.ts
+++ b/packages/consensus/tests/node.steps.ts
@@ -51,7 +51,7 @@
 	close: async () => undefined,
 });
 
-Given('a voter that forms a quorum of its own', async function (this: NodeWorld) {
+Given('a voter that is the only member of its quorum', async function (this: NodeWorld) {
 	this.failures = 0;
 	this.events = [];
 	this.timers = new TimerService(SYSTEM_CLOCK);
@@ -92,7 +92,7 @@
 	this.timers.stop();
 });
 
-Then('the command is not acknowledged before the disk has taken it', function (this: NodeWorld) {
+Then('the command is not acknowledged before the disk has stored it', function (this: NodeWorld) {
 	assert.deepEqual(this.events, ['refused', 'refused', 'stored', 'applied command', 'acknowledged']);
 });
 
@@ -100,7 +100,7 @@
 	assert.equal(this.events.filter(event => event === 'applied command').length, 1);
 });
 
-Given('a leader with {int} voters and {int} learner, of which {string} was silent for long', function (this: NodeWorld, voters: number, learners: number, silent: string) {
+Given('a leader with {int} voters and {int} learner, of which {string} has been silent for long', function (this: NodeWorld, voters: number, learners: number, silent: string) {
 	const ids = [...'abcdefgh'];
 	this.voters = [
 		...ids.slice(0, voters).map(id => newVoter(id)),
@@ -109,7 +109,7 @@
 	this.silent = silent;
 });
 
-Then('{int} members are kept where {int} losses must be borne', function (this: NodeWorld, count: number, losses: number) {
+Then('{int} members are kept if {int} losses must be tolerated', function (this: NodeWorld, count: number, losses: number) {
 	const state = newConsensusState(newStored(this.voters), SETTINGS, 0);
 	mutateConsensus(state, SETTINGS, {kind: 'tick', jitter: 0}, 1);
 	state.role = 'leader';
@@ -129,7 +129,7 @@
 	assert.equal(kept.some(voter => voter.id === lastId), count === this.voters.length);
 });
 
-Then('a voter whose process started at 0 ms grants a vote that is asked for at {int} ms: {word}', (askedAt: number, isGranted: string) => {
+Then('a voter whose process started at 0 ms grants a vote that is requested at {int} ms: {word}', (askedAt: number, isGranted: string) => {
 	const state = newConsensusState(newStored([newVoter('a'), newVoter('b'), newVoter('c')]), SETTINGS, 0);
 	const [effect] = mutateConsensus(state, SETTINGS, {
 		kind: 'message',
@@ -144,12 +144,12 @@
 
 const split = (text: string): string[] => text === '' ? [] : text.split(', ');
 
-Given('settings that name {int} controllers, and a voter {string} among them that looks for the others', function (this: NodeWorld, named: number, self: string) {
+Given('settings that name {int} controllers, and a voter {string} among them that queries the others', function (this: NodeWorld, named: number, self: string) {
 	this.named = named;
 	this.self = newVoter(self);
 });
 
-When('it reaches {string} without a quorum that would form {string}, {string} without a disk and {string} with a quorum that counts {string}', function (
+When('it reaches {string} without a quorum that propose {string}, {string} without a disk and {string} with a quorum of {string}', function (
 	this: NodeWorld,
 	voters: string,
 	told: string,
@@ -172,7 +172,7 @@
 	this.decision = getFormation(this.self, this.named, peers);
 });
 
-Then(/^it is to (wait|join|form .+)$/, function (this: NodeWorld, text: string) {
+Then(/^its decision is to (wait|join|form .+)$/, function (this: NodeWorld, text: string) {
 	const {decision} = this;
 	const voters = decision.kind === 'form' ? ` ${decision.voters.map(({id}) => id).join(', ')}` : '';
 	assert.equal(`${decision.kind}${voters}`, text);
--- a/packages/consensus/tests/quorum-command.ts
+++ b/packages/consensus/tests/quorum-command.ts
@@ -1,7 +1,7 @@
 import type fc from 'fast-check';
 import type {FakeQuorum} from './fake-quorum.js';
 
-/** The model is the quorum's own oracle, so that nothing is kept here. */
+/** The model is empty, because the simulated quorum checks itself with its own oracle. */
 type Model = Record<string, never>;
 
 /** One step of a fuzzing run. */
--- a/packages/consensus/tests/quorum-commands.ts
+++ b/packages/consensus/tests/quorum-commands.ts
@@ -5,7 +5,7 @@
 
 const SIZE = 3;
 
-/** The loss of a disk, once the quorum is whole; a second one may follow as soon as the first is repaired. */
+/** Loses one disk once all VMs are voters. A second loss may follow as soon as the first one is repaired. */
 const WIPE: fc.Arbitrary<QuorumCommand> = fc.nat({max: SIZE - 1}).map(voter => newQuorumCommand(`wipe ${voter}`, quorum => {
 	quorum.heal();
 	quorum.advance(4000);
@@ -14,5 +14,5 @@
 	quorum.wipe(voter);
 }));
 
-/** Proposals, faults and the passing of time, in any order and mix. */
+/** Fuzz commands for proposals, for faults and for the passing of time. */
 export const QUORUM_COMMANDS: ReadonlyArray<fc.Arbitrary<QuorumCommand>> = [...newFaultCommands(SIZE), WIPE];
--- a/packages/consensus/tests/quorum-options.ts
+++ b/packages/consensus/tests/quorum-options.ts
@@ -1,7 +1,7 @@
-/** How many VMs with disks a quorum under test has, and how many of them may be lost at once. */
+/** The number of VMs in a simulated quorum, and the number of disks that it may lose at the same time. */
 export type QuorumOptions = {
 	readonly size: number;
 	readonly losses: number;
-	/** Whether all disks are empty at the start, and VMs that lost theirs look for a quorum before they start. */
+	/** True if all disks are empty at the start, and a VM that lost its disk looks for a quorum before it starts. */
 	readonly isForming?: boolean;
 };
--- a/packages/consensus/tests/quorum-settings.ts
+++ b/packages/consensus/tests/quorum-settings.ts
@@ -1,4 +1,4 @@
 import type {ConsensusSettings} from '@valelead/consensus';
 
-/** Timing of the quorum under test. */
+/** Timing of the simulated quorum. */
 export const QUORUM_SETTINGS: ConsensusSettings = {heartbeatMs: 100, electionTimeoutMs: 300};
--- a/packages/consensus/tests/run-quorum-fuzz.ts
+++ b/packages/consensus/tests/run-quorum-fuzz.ts
@@ -5,7 +5,7 @@
 import {QUORUM_COMMANDS} from './quorum-commands.js';
 import type {Mutation} from './mutation.js';
 
-/** Fuzzes the consensus. */
+/** Fuzzes a quorum of three voters that may lose one disk at a time. */
 export const runQuorumFuzz = (options: FuzzOptions<Mutation>): FuzzResult => runFuzz({
 	commands: QUORUM_COMMANDS,
 	newReal(seed, mutation: Mutation) {
