--- a/packages/consensus/src/consensus-node.ts
+++ b/packages/consensus/src/consensus-node.ts
@@ -78,7 +78,7 @@
 	#machineAppliedIndex = 0;
 	/** The highest commit index received from a leader since this process started. */
 	#receivedCommitIndex = 0;
-	#isInformed = false;
+	#hasRecoveredState = false;
 	#resumedAt = Number.NEGATIVE_INFINITY;
 	#ticks: TimerSubscription | undefined;
 
@@ -166,7 +166,7 @@
 	 * index that it has received. It never becomes false again, because the state machine only moves forward.
 	 */
 	get isInformed(): boolean {
-		return this.#isInformed;
+		return this.#hasRecoveredState;
 	}
 
 	/** Handles a message of another voter. The sender's address is stored for the reply, because the sender may not be a known voter yet. */
@@ -345,7 +345,7 @@
 				}
 
 				this.#machineAppliedIndex = effect.entry.index;
-				this.#isInformed ||= effect.entry.term === this.#state.term && effect.entry.index >= this.#receivedCommitIndex;
+				this.#hasRecoveredState ||= effect.entry.term === this.#state.term && effect.entry.index >= this.#receivedCommitIndex;
 
 				break;
 			}
