--- a/packages/consensus/tests/get-tolerated-sets.ts
+++ b/packages/consensus/tests/get-tolerated-sets.ts
@@ -12,8 +12,8 @@
 const isIn = (mask: number, position: number): boolean => Math.floor(mask / (2 ** position)) % 2 === 1;
 
 /** Tries every set of further lost members, in addition to the members that have failed already. */
-export const getToleratedSets = (members: readonly Voter[], dead: ReadonlySet<string>): ToleratedSets => {
-	const live = members.filter(({id}) => !dead.has(id));
+export const getToleratedSets = (members: readonly Voter[], failed: ReadonlySet<string>): ToleratedSets => {
+	const live = members.filter(({id}) => !failed.has(id));
 	const needed = Math.floor(members.filter(({isLearner}) => !isLearner).length / 2) + 1;
 	const masks = Array.from({length: 2 ** live.length}, (_, mask) => mask);
 	const hasMajority = (mask: number): boolean => live.filter(({isLearner}, position) => !isLearner && !isIn(mask, position)).length >= needed;
--- a/packages/consensus/tests/hand-over.steps.ts
+++ b/packages/consensus/tests/hand-over.steps.ts
@@ -101,8 +101,8 @@
 	assert.ok(this.node.isCurrentLeader);
 });
 
-When('{string} are unreachable for {int} ms and the leader transfers leadership', async function (this: TransferWorld, gone: string, ms: number) {
-	this.unreachable = gone.split(' ');
+When('{string} are unreachable for {int} ms and the leader transfers leadership', async function (this: TransferWorld, unreachable: string, ms: number) {
+	this.unreachable = unreachable.split(' ');
 	await advance(this.time, ms);
 	assert.ok(this.node.isLeader);
 	this.node.transfer();
--- a/packages/consensus/tests/membership.steps.ts
+++ b/packages/consensus/tests/membership.steps.ts
@@ -34,11 +34,11 @@
  * Lets the leader remove a voter that is down, and compact its log if requested, so that the leader no longer has the entries that this voter
  * lacks.
  */
-const removeVoter = (quorum: FakeQuorum, gone: string, isCompacted: boolean): void => {
+const removeVoter = (quorum: FakeQuorum, removedId: string, isCompacted: boolean): void => {
 	const {state} = quorum.leader!;
-	quorum.leader!.handle({kind: 'configure', proposalId: 'let go', voters: state.voters.filter(voter => voter.id !== gone)}, quorum.now);
+	quorum.leader!.handle({kind: 'configure', proposalId: 'let go', voters: state.voters.filter(voter => voter.id !== removedId)}, quorum.now);
 	quorum.advance(ENTRY_MS);
-	assert.ok(state.voters.every(voter => voter.id !== gone));
+	assert.ok(state.voters.every(voter => voter.id !== removedId));
 	if (isCompacted) {
 		quorum.leader!.handle({kind: 'compact', index: state.appliedIndex, data: 'state'}, quorum.now);
 	}
@@ -115,17 +115,17 @@
 type NextStep = typeof getNextMembership;
 
 /** Returns the next configuration in the order that is not in use: the new identity votes before the old one is removed. */
-const getNextWithEarlyVote: NextStep = (voters, wished) => {
-	const known = voters.find(({id}) => id === wished.id);
+const getNextWithEarlyVote: NextStep = (voters, joining) => {
+	const known = voters.find(({id}) => id === joining.id);
 	if (!known) {
-		return [...voters, {...wished, isLearner: true}];
+		return [...voters, {...joining, isLearner: true}];
 	}
 
 	if (known.isLearner) {
-		return voters.map(voter => voter.id === wished.id ? wished : voter);
+		return voters.map(voter => voter.id === joining.id ? joining : voter);
 	}
 
-	const rest = voters.filter(({vm, id}) => vm !== wished.vm || id === wished.id);
+	const rest = voters.filter(({vm, id}) => vm !== joining.vm || id === joining.id);
 	return rest.length < voters.length ? rest : undefined;
 };
 
@@ -133,11 +133,11 @@
 const getSteps = ({voters, lost}: MembershipWorld, getNext: NextStep): Array<readonly Voter[]> => {
 	const steps: Array<readonly Voter[]> = [voters];
 	for (const {vm} of voters.slice(0, lost)) {
-		const wished = newMember(vm, '-new');
-		let next = getNext(steps.at(-1)!, wished, true);
+		const joining = newMember(vm, '-new');
+		let next = getNext(steps.at(-1)!, joining, true);
 		while (next) {
 			steps.push(next);
-			next = getNext(next, wished, true);
+			next = getNext(next, joining, true);
 		}
 	}
 
@@ -149,7 +149,7 @@
 	return getSteps(world, getNext).map(members => getToleratedSets(members, dead));
 };
 
-const getText = (borne: ReturnType<typeof getToleratedAfterEachStep>): string => borne.map(({losses, sets}) => `${losses}:${sets}`).join(' ');
+const getText = (tolerated: ReturnType<typeof getToleratedAfterEachStep>): string => tolerated.map(({losses, sets}) => `${losses}:${sets}`).join(' ');
 
 Given('{int} voters of which {int} have lost their disks at once', function (this: MembershipWorld, count: number, lost: number) {
 	this.voters = Array.from({length: count}, (_, index) => newMember(`vm-${index}`, ''));
--- a/packages/consensus/tests/node.steps.ts
+++ b/packages/consensus/tests/node.steps.ts
@@ -152,7 +152,7 @@
 When('it reaches {string} without a quorum that propose {string}, {string} without a disk and {string} with a quorum of {string}', function (
 	this: NodeWorld,
 	voters: string,
-	told: string,
+	proposed: string,
 	standbys: string,
 	formed: string,
 	counted: string,
@@ -163,7 +163,7 @@
 			voter: newVoter(id), canVote: false, isFormed: false, proposal: [], formation: [],
 		})),
 		...split(voters).map(id => ({
-			voter: newVoter(id), canVote: true, isFormed: false, proposal: split(told), formation: [],
+			voter: newVoter(id), canVote: true, isFormed: false, proposal: split(proposed), formation: [],
 		})),
 		...split(formed).map(id => ({
 			voter: newVoter(id), canVote: true, isFormed: true, proposal: [], formation,
