--- a/packages/consensus/src/mutate-role.ts
+++ b/packages/consensus/src/mutate-role.ts
@@ -6,6 +6,6 @@
 /** Changes the role of the voter as its state chart defines for the event. */
 export const mutateRole = (state: ConsensusState, event: string): void => {
 	const next = getNextState(ROLE_CHART, state.role, event);
-	invariant(next !== undefined, `the role chart allows ${event} in role ${state.role}`);
+	invariant(next !== undefined, `role ${state.role} has a transition for ${event}`);
 	state.role = next;
 };
