--- a/packages/consensus/src/consensus-node.ts
+++ b/packages/consensus/src/consensus-node.ts
@@ -5,7 +5,7 @@
 import {getLeaseEnd} from './get-lease-end.js';
 import {getTermAt} from './get-term-at.js';
 import {getReducedVoters} from './get-reduced-voters.js';
-import {getSuccessor} from './get-successor.js';
+import {getTransferTarget} from './get-transfer-target.js';
 import {isAskingToJoin} from './is-asking-to-join.js';
 import {isGrowing} from './is-growing.js';
 import {isPersistEffect} from './is-persist-effect.js';
@@ -28,56 +28,57 @@
 type NodeParts = {
 	readonly settings: ConsensusSettings;
 	readonly clock: Clock;
-	/** Tells when the process was last suspended. */
+	/** Provides the time at which the process was last resumed after a suspension. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt'>;
-	/** When this process started, in monotonic milliseconds; an earlier run on the same disk had ended by then. */
+	/** Start time of this process, in monotonic milliseconds. An earlier process on the same disk had ended by then. */
 	readonly processStartedAt: number;
 	readonly timers: TimerService;
 	readonly storage: LogStorage;
 	readonly transport: ConsensusTransport;
 	readonly machine: StateMachine;
+	/** Called after the voter has stopped because writes failed for too long. */
 	readonly onFailure: (error: ValeleadError) => void;
-	/** The process was suspended, or its time of day was set forward. */
+	/** Called after the process was suspended or its wall clock was set forward. */
 	readonly onResumed?: () => void;
-	/** A write to the disk failed and is tried again. */
+	/** Called when a write to the disk failed and will be retried. */
 	readonly onStorageRetry?: (error: Error) => void;
-	/** Log entries after which a snapshot is taken. */
+	/** Number of log entries after which a snapshot is taken. */
 	readonly snapshotEvery: number;
-	/** Uniform in [0, 1). */
+	/** Returns random numbers, uniform in [0, 1). */
 	readonly random: () => number;
 };
 
-type Proposal = {
+type PendingProposal = {
 	readonly resolve: (index: number) => void;
 	readonly reject: (error: ValeleadError) => void;
 };
 
-const SHORTEST_TICK_MS = 25;
+const MIN_TICK_MS = 25;
 
-/** Ticks in a heartbeat; the resolution of elections and heartbeats. */
+/** Number of ticks in a heartbeat interval. The tick is the timer resolution of elections and heartbeats. */
 const TICKS_PER_HEARTBEAT = 4;
 
-/** A disk that refuses writes, such as a full one, is tried again for this long before the voter gives up. */
-const STORAGE_PATIENCE_MS = 30_000;
+/** Time for which failed writes are retried, for example while the disk is full, before the voter stops. */
+const STORAGE_RETRY_LIMIT_MS = 30_000;
 const STORAGE_RETRY_MS = 200;
 
-/** Runs one voter: feeds its state with events and carries out the effects, syncing before answering. */
+/** Runs one voter: passes events to its state and executes the resulting effects. Writes are synced before any reply is sent. */
 export class ConsensusNode {
 	readonly #parts: NodeParts;
 	readonly #state: ConsensusState;
-	readonly #proposals = new Map<string, Proposal>();
+	readonly #proposals = new Map<string, PendingProposal>();
 	readonly #senders = new Map<string, MessageTarget>();
-	/** When a member was last heard, by its id. */
-	readonly #heardAt = new Map<string, number>();
-	#pending: ConsensusEffect[] = [];
+	/** Monotonic time of the last message received from each member, by member id. */
+	readonly #lastReceivedAt = new Map<string, number>();
+	#pendingEffects: ConsensusEffect[] = [];
 	#flushing: Promise<void> | undefined;
 	#isStopped = false;
 	#nextProposal = 1;
-	/** The last entry that the state machine has taken; it follows the commit index after the disk. */
-	#machineIndex = 0;
-	/** The highest index that a leader has told to be committed since this process started. */
-	#toldIndex = 0;
-	#isInformed = false;
+	/** Index of the last entry applied to the state machine. It lags behind the commit index until the disk has synced the entries. */
+	#machineAppliedIndex = 0;
+	/** The highest commit index received from a leader since this process started. */
+	#receivedCommitIndex = 0;
+	#hasRecoveredState = false;
 	#resumedAt = Number.NEGATIVE_INFINITY;
 	#ticks: TimerSubscription | undefined;
 
@@ -86,14 +87,14 @@
 		this.#state = newConsensusState(stored, parts.settings, parts.processStartedAt, parts.random());
 		if (stored.snapshot.data !== '') {
 			parts.machine.restore(stored.snapshot.index, stored.snapshot.data);
-			this.#machineIndex = stored.snapshot.index;
+			this.#machineAppliedIndex = stored.snapshot.index;
 		}
 	}
 
 	start(): void {
 		const {heartbeatMs} = this.#parts.settings;
-		this.#ticks = this.#parts.timers.repeat(Math.max(SHORTEST_TICK_MS, heartbeatMs / TICKS_PER_HEARTBEAT), () => {
-			this.#take({kind: 'tick', jitter: this.#parts.random()});
+		this.#ticks = this.#parts.timers.repeat(Math.max(MIN_TICK_MS, heartbeatMs / TICKS_PER_HEARTBEAT), () => {
+			this.#handle({kind: 'tick', jitter: this.#parts.random()});
 		});
 	}
 
@@ -112,7 +113,7 @@
 		return this.#state.term;
 	}
 
-	/** The term in which an entry was proposed; undefined where the log does not hold it any more. */
+	/** Returns the term in which an entry was proposed, or undefined if the log does not contain the entry any more. */
 	getTermAt(index: number): number | undefined {
 		return getTermAt(this.#state, index);
 	}
@@ -125,6 +126,7 @@
 		return this.#state.voters;
 	}
 
+	/** Returns the voters of the snapshot, which initially are those that formed the quorum, or the current voters if the snapshot has none. */
 	get formation(): readonly Voter[] {
 		return this.#state.snapshot.voters.length > 0 ? this.#state.snapshot.voters : this.#state.voters;
 	}
@@ -133,7 +135,7 @@
 		return this.#state.voters.find(voter => voter.id === this.#state.leaderId);
 	}
 
-	/** Whether this voter has no vote, or may have none any more, and should ask to be let in. */
+	/** True if this voter has no vote, or may have lost it, and should ask the leader to admit it. */
 	get isAskingToJoin(): boolean {
 		return isAskingToJoin(this.#state, this.#parts.settings, this.#parts.clock.now());
 	}
@@ -142,74 +144,86 @@
 		return this.#state.role === 'leader';
 	}
 
-	/** Whether this voter leads, holds its lease, and has applied everything that earlier leaders committed. */
+	/** True if this voter is the leader, has a valid lease, and has committed an entry of its own term and thus all entries of earlier terms. */
 	get isCurrentLeader(): boolean {
-		this.#noteResumption();
+		this.#checkSuspension();
 		const now = this.#parts.clock.now();
 		const hasLease = now < getLeaseEnd(this.#state, this.#parts.settings, now);
 		return hasLease && this.#hasOwnCommit();
 	}
 
-	/** Whether the state machine holds everything that any leader has acknowledged: a read now is linearizable. */
+	/**
+	 * True if this voter is the current leader and its state machine has applied everything that any leader has acknowledged: reads are
+	 * linearizable.
+	 */
 	get canRead(): boolean {
-		return this.isCurrentLeader && this.#machineIndex >= this.#state.appliedIndex;
+		return this.isCurrentLeader && this.#machineAppliedIndex >= this.#state.appliedIndex;
 	}
 
 	/**
-	 * Whether the state machine holds what was acknowledged before this process started, as far as the leaders that it heard since know: it has taken an
-	 * entry of the current term, behind which all earlier ones are, and all that was told to be committed. Later states only grow.
+	 * True if the state machine has applied everything that was acknowledged before this process started, as far as the leaders that have contacted
+	 * it since then know: it has applied an entry of the current term, which follows all earlier entries, and every entry up to the highest commit
+	 * index that it has received. It never becomes false again, because the state machine only moves forward.
 	 */
 	get isInformed(): boolean {
-		return this.#isInformed;
+		return this.#hasRecoveredState;
 	}
 
-	/** Takes a message. The sender's address is kept for the answer, as it may not be a known voter yet. */
+	/** Handles a message of another voter. The sender's address is stored for the reply, because the sender may not be a known voter yet. */
 	receive(from: MessageTarget, message: ConsensusMessage): void {
 		this.#senders.set(from.id, from);
-		this.#heardAt.set(from.id, this.#parts.clock.now());
-		this.#toldIndex = message.kind === 'appendRequest' ? Math.max(this.#toldIndex, message.commitIndex) : this.#toldIndex;
-		this.#take({kind: 'message', from: from.id, message});
+		this.#lastReceivedAt.set(from.id, this.#parts.clock.now());
+		this.#receivedCommitIndex = message.kind === 'appendRequest' ? Math.max(this.#receivedCommitIndex, message.commitIndex) : this.#receivedCommitIndex;
+		this.#handle({kind: 'message', from: from.id, message});
 	}
 
-	/** Resolves with the index when the command is committed and applied. */
+	/** Proposes a command. Resolves with its index once it is committed and applied; rejects if this voter is not the leader. */
 	async propose(data: string): Promise<number> {
 		return this.#propose(proposalId => ({kind: 'propose', proposalId, data}));
 	}
 
+	/** Proposes a change of the voters. Resolves with its index once it is committed; rejects if this voter is not the leader. */
 	async configure(voters: readonly Voter[]): Promise<number> {
 		return this.#propose(proposalId => ({kind: 'configure', proposalId, voters}));
 	}
 
-	/** Hands leadership to the voter that has followed furthest among those that are heard. */
+	/** Transfers leadership to the reachable voter whose log is the most up to date. */
 	transfer(): void {
-		const target = getSuccessor(this.#state, this.#parts.settings, this.#parts.clock.now());
+		const target = getTransferTarget(this.#state, this.#parts.settings, this.#parts.clock.now());
 		if (target) {
-			this.#take({kind: 'transfer', to: target.id});
+			this.#handle({kind: 'transfer', to: target.id});
 		}
 	}
 
-	/** The voters without one that was silent for too long, where they are better off without it and not fewer than the least number. */
-	getReducedVoters(silenceMs: number, leastVoters: number): readonly Voter[] | undefined {
-		return this.isCurrentLeader ? getReducedVoters(this.#state, silenceMs, this.#parts.clock.now(), leastVoters) : undefined;
+	/**
+	 * Returns the voters without one that has been silent for too long.
+	 * Returns undefined if none should be removed, or this voter is not the current leader.
+	 * @param minVoters - The number of voters below which none is removed.
+	 */
+	getReducedVoters(silenceMs: number, minVoters: number): readonly Voter[] | undefined {
+		return this.isCurrentLeader ? getReducedVoters(this.#state, silenceMs, this.#parts.clock.now(), minVoters) : undefined;
 	}
 
-	/** Whether this leader has fewer voters than the least number, and others joined within the growth time. */
-	isGrowing(leastVoters: number, growthMs: number): boolean {
-		return isGrowing(this.#state, leastVoters, growthMs, this.#parts.clock.now());
+	/** True if this leader has fewer voters than the minimum, and the last member was added, or its term began, less than the given time ago. */
+	isGrowing(minVoters: number, joinWindowMs: number): boolean {
+		return isGrowing(this.#state, minVoters, joinWindowMs, this.#parts.clock.now());
 	}
 
-	/** @param silenceMs - A member that said nothing for longer does not count as heard. */
+	/**
+	 * Returns this voter's view of the quorum.
+	 * @param silenceMs - A member that has sent no message for longer does not count as reachable, in milliseconds.
+	 */
 	getView(silenceMs: number): QuorumView {
 		const {selfId, term} = this.#state;
 		const now = this.#parts.clock.now();
 		const voters = this.#state.voters.filter(voter => !voter.isLearner);
-		const heard = voters.filter(({id}) => id === selfId || now - (this.#heardAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
+		const heard = voters.filter(({id}) => id === selfId || now - (this.#lastReceivedAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
 		return {
 			voters, heard, term, leader: this.leader, isLeader: this.isLeader,
 		};
 	}
 
-	/** Whether a member holds everything that is committed. */
+	/** True if a member has all committed entries. */
 	isCaughtUp(id: string): boolean {
 		return this.#getMatch(id) >= this.#state.commitIndex;
 	}
@@ -229,12 +243,12 @@
 		this.#nextProposal += 1;
 		return new Promise((resolve, reject) => {
 			this.#proposals.set(proposalId, {resolve, reject});
-			this.#take(newEvent(proposalId));
+			this.#handle(newEvent(proposalId));
 		});
 	}
 
-	/** Takes that the process was suspended before anything is decided on what it held. */
-	#noteResumption(): void {
+	/** Records a suspension of the process before any decision uses a lease from before it. */
+	#checkSuspension(): void {
 		const {resumedAt} = this.#parts.suspensions;
 		if (resumedAt > this.#resumedAt) {
 			this.#resumedAt = resumedAt;
@@ -243,8 +257,8 @@
 		}
 	}
 
-	#take(event: ConsensusEvent): void {
-		this.#noteResumption();
+	#handle(event: ConsensusEvent): void {
+		this.#checkSuspension();
 		this.#mutate(event);
 	}
 
@@ -258,18 +272,18 @@
 			return;
 		}
 
-		this.#pending.push(...effects);
+		this.#pendingEffects.push(...effects);
 		this.#flushing ??= this.#flush();
 	}
 
 	async #flush(): Promise<void> {
 		try {
-			while (this.#pending.length > 0 && !this.#isStopped) {
-				const batch = this.#pending;
-				this.#pending = [];
+			while (this.#pendingEffects.length > 0 && !this.#isStopped) {
+				const batch = this.#pendingEffects;
+				this.#pendingEffects = [];
 				await this.#persist(batch);
 				for (const effect of batch) {
-					this.#carryOut(effect);
+					this.#execute(effect);
 				}
 
 				this.#compact();
@@ -289,22 +303,22 @@
 			return;
 		}
 
-		await this.#persistPatiently(effects);
+		await this.#persistWithRetries(effects);
 		const entry = effects.flatMap(effect => effect.kind === 'persistHardState' ? [] : effect.entries).at(-1);
 		if (entry) {
-			this.#take({kind: 'synced', index: entry.index, term: entry.term});
+			this.#handle({kind: 'synced', index: entry.index, term: entry.term});
 		}
 	}
 
-	/** Nothing that depends on the batch is sent before it is stored, so a voter whose disk refuses writes falls silent. */
-	async #persistPatiently(effects: readonly PersistEffect[]): Promise<void> {
-		const givesUpAt = this.#parts.clock.now() + STORAGE_PATIENCE_MS;
+	/** Retries failed writes. Nothing that depends on the batch is sent before it is stored, so a voter whose writes fail stops responding. */
+	async #persistWithRetries(effects: readonly PersistEffect[]): Promise<void> {
+		const retriesEndAt = this.#parts.clock.now() + STORAGE_RETRY_LIMIT_MS;
 		for (;;) {
 			try {
 				await this.#parts.storage.persist(effects);
 				return;
 			} catch (error) {
-				if (this.#isStopped || this.#parts.clock.now() >= givesUpAt) {
+				if (this.#isStopped || this.#parts.clock.now() >= retriesEndAt) {
 					throw error;
 				}
 
@@ -314,7 +328,7 @@
 		}
 	}
 
-	#carryOut(effect: ConsensusEffect): void {
+	#execute(effect: ConsensusEffect): void {
 		switch (effect.kind) {
 			case 'send': {
 				const to = this.#state.voters.find(voter => voter.id === effect.to) ?? this.#senders.get(effect.to);
@@ -330,15 +344,15 @@
 					this.#parts.machine.apply(effect.entry.index, effect.entry.data);
 				}
 
-				this.#machineIndex = effect.entry.index;
-				this.#isInformed ||= effect.entry.term === this.#state.term && effect.entry.index >= this.#toldIndex;
+				this.#machineAppliedIndex = effect.entry.index;
+				this.#hasRecoveredState ||= effect.entry.term === this.#state.term && effect.entry.index >= this.#receivedCommitIndex;
 
 				break;
 			}
 
 			case 'restore': {
 				this.#parts.machine.restore(effect.snapshot.index, effect.snapshot.data);
-				this.#machineIndex = effect.snapshot.index;
+				this.#machineAppliedIndex = effect.snapshot.index;
 				break;
 			}
 
@@ -362,9 +376,9 @@
 
 	#compact(): void {
 		const isDue = this.#state.appliedIndex - this.#state.snapshot.index >= this.#parts.snapshotEvery;
-		const isSettled = this.#pending.every(effect => effect.kind !== 'apply');
+		const isSettled = this.#pendingEffects.every(effect => effect.kind !== 'apply');
 		if (isDue && isSettled && getLastIndex(this.#state) > 0) {
-			this.#take({kind: 'compact', index: this.#state.appliedIndex, data: this.#parts.machine.save()});
+			this.#handle({kind: 'compact', index: this.#state.appliedIndex, data: this.#parts.machine.save()});
 		}
 	}
 }
--- a/packages/consensus/src/mutate-configuration.ts
+++ b/packages/consensus/src/mutate-configuration.ts
@@ -11,8 +11,8 @@
 
 const getVotingIds = (voters: readonly Voter[]): string[] => voters.filter(voter => !voter.isLearner).map(voter => voter.id);
 
-/** Two configurations that differ by at most one vote have overlapping majorities. */
-const isOneStep = (from: readonly Voter[], to: readonly Voter[]): boolean => {
+/** True if two configurations differ by at most one vote. Every majority of the one then overlaps with every majority of the other. */
+const isSingleVoteChange = (from: readonly Voter[], to: readonly Voter[]): boolean => {
 	const before = new Set(getVotingIds(from));
 	const after = new Set(getVotingIds(to));
 	const added = [...after].filter(id => !before.has(id)).length;
@@ -21,12 +21,12 @@
 };
 
 /**
- * Appends a change of voters. One change at a time, of one vote, and only after an entry of the
- * leader's own term has committed.
+ * Appends a change of the voters, or rejects it. A change may add or remove at most one vote, and is allowed only after the previous change and
+ * an entry of the leader's own term have been committed.
  */
 export const mutateConfiguration = (state: ConsensusState, now: number, proposalId: string, voters: readonly Voter[]): ConsensusEffect[] => {
-	const isSettled = state.votersIndex <= state.commitIndex && getTermAt(state, state.commitIndex) === state.term;
-	if (state.role !== 'leader' || state.transferTo !== undefined || !isSettled || !isOneStep(state.voters, voters)) {
+	const isPreviousCommitted = state.votersIndex <= state.commitIndex && getTermAt(state, state.commitIndex) === state.term;
+	if (state.role !== 'leader' || state.transferTo !== undefined || !isPreviousCommitted || !isSingleVoteChange(state.voters, voters)) {
 		return newRejection(proposalId);
 	}
 
--- a/packages/consensus/src/mutate-consensus.ts
+++ b/packages/consensus/src/mutate-consensus.ts
@@ -1,6 +1,6 @@
 import {assertNever} from '@valelead/common';
 import {getLastIndex} from './get-last-index.js';
-import {getNextVoters} from './get-next-voters.js';
+import {getCurrentVoters} from './get-current-voters.js';
 import {getTermAt} from './get-term-at.js';
 import {isVoting} from './is-voting.js';
 import {mutateCandidate} from './mutate-candidate.js';
@@ -29,7 +29,7 @@
 	return state.role === 'leader' ? mutateCommit(state) : [];
 };
 
-const mutateTransfer = (state: ConsensusState, settings: ConsensusSettings, now: number, to: string): ConsensusEffect[] => {
+const mutateTransferStart = (state: ConsensusState, settings: ConsensusSettings, now: number, to: string): ConsensusEffect[] => {
 	if (state.role !== 'leader' || !isVoting(state, to) || to === state.selfId) {
 		return [];
 	}
@@ -53,11 +53,12 @@
 };
 
 /**
- * The lease that was held may be over, and another voter may lead: it counts again once a majority answers what is sent after this moment. What was sent
- * at this very moment, on a clock that stood still, may be from before; so the next heartbeat goes with the next tick.
+ * Invalidates the lease after a suspension, because it may have expired and another voter may lead. The lease is valid again once a majority has
+ * replied to messages sent after this time. The clock was stopped during the suspension, so a message stamped with exactly this time may have been
+ * sent before it; therefore the next heartbeat is sent with the next tick.
  */
 const mutateResumed = (state: ConsensusState, now: number): ConsensusEffect[] => {
-	state.confirmedFrom = now;
+	state.acksValidAfter = now;
 	state.heartbeatDueAt = now;
 	return [];
 };
@@ -69,7 +70,7 @@
 	}
 
 	const offset = index - state.snapshot.index;
-	const {voters} = getNextVoters(state.snapshot, state.log.slice(0, offset));
+	const {voters} = getCurrentVoters(state.snapshot, state.log.slice(0, offset));
 	state.log = state.log.slice(offset);
 	state.snapshot = {
 		index, term, voters, data,
@@ -110,7 +111,7 @@
 };
 
 /**
- * Advances a voter by one event and returns what must be done, in order.
+ * Applies one event to the state of a voter and returns the effects, in the order in which they must be executed.
  * The algorithm is Raft (Ongaro, 2014) with pre-vote, check-quorum, leader lease and
  * membership changes of one vote at a time.
  */
@@ -141,7 +142,7 @@
 		}
 
 		case 'transfer': {
-			return mutateTransfer(state, settings, now, event.to);
+			return mutateTransferStart(state, settings, now, event.to);
 		}
 
 		case 'compact': {
--- a/packages/consensus/src/mutate-election.ts
+++ b/packages/consensus/src/mutate-election.ts
@@ -7,7 +7,7 @@
 import type {ConsensusSettings} from './consensus-settings.js';
 import type {ConsensusState} from './consensus-state.js';
 
-/** Asks whether an election could be won, without disturbing the term. */
+/** Starts a pre-vote: asks the other voters if they would grant their votes, without starting a new term. */
 export const mutateElection = (state: ConsensusState, settings: ConsensusSettings, now: number, jitter: number): ConsensusEffect[] => {
 	state.electionDueAt = now + (settings.electionTimeoutMs * (1 + jitter));
 	if (!isVoting(state, state.selfId)) {
@@ -16,8 +16,8 @@
 
 	mutateRole(state, 'electionTimeout');
 	state.leaderId = undefined;
-	state.granted = new Set([state.selfId]);
-	if (hasQuorum(state, state.granted)) {
+	state.grantedVotes = new Set([state.selfId]);
+	if (hasQuorum(state, state.grantedVotes)) {
 		mutateRole(state, 'preVoteWon');
 		return mutateCandidate(state, settings, now, false);
 	}
--- a/packages/consensus/src/mutate-snapshot-request.ts
+++ b/packages/consensus/src/mutate-snapshot-request.ts
@@ -1,5 +1,5 @@
 import {getLastIndex} from './get-last-index.js';
-import {getNextVoters} from './get-next-voters.js';
+import {getCurrentVoters} from './get-current-voters.js';
 import {getTermAt} from './get-term-at.js';
 import {mutateLeaderSeen} from './mutate-leader-seen.js';
 import {newAppendReply} from './new-append-reply.js';
@@ -10,7 +10,7 @@
 
 type SnapshotRequest = Extract<ConsensusMessage, {kind: 'snapshotRequest'}>;
 
-/** Takes a snapshot from the leader in place of entries it no longer has. */
+/** Handles a snapshot request: installs the leader's snapshot, which replaces log entries that the leader no longer has. */
 export const mutateSnapshotRequest = (state: ConsensusState, settings: ConsensusSettings, now: number, from: string, request: SnapshotRequest): ConsensusEffect[] => {
 	if (request.term < state.term) {
 		return [newAppendReply(state, from, false, getLastIndex(state), request.sentAt)];
@@ -29,7 +29,7 @@
 	state.commitIndex = request.index;
 	state.appliedIndex = request.index;
 	state.syncedIndex = Math.min(state.syncedIndex, getLastIndex(state));
-	const current = getNextVoters(state.snapshot, state.log);
+	const current = getCurrentVoters(state.snapshot, state.log);
 	state.voters = current.voters;
 	state.votersIndex = current.index;
 	return [
--- a/packages/consensus/tests/fake-formation.ts
+++ b/packages/consensus/tests/fake-formation.ts
@@ -3,8 +3,8 @@
 
 type Poll = {
 	readonly id: string;
-	/** When each other VM is looked at; a VM that is down answers nothing. */
-	readonly lookAt: Map<number, number>;
+	/** Virtual time at which each other VM is queried, by index. A VM that is down does not answer. */
+	readonly queryAt: Map<number, number>;
 	readonly found: FoundVoter[];
 	readonly endsAt: number;
 };
@@ -12,7 +12,7 @@
 const FORMATION_POLL_MS = 200;
 const CALL_TIMEOUT_MS = 1000;
 
-const getFound = (voter: FakeVoter, proposal: readonly string[]): FoundVoter => {
+const newDiscoveredVoter = (voter: FakeVoter, proposal: readonly string[]): FoundVoter => {
 	const {snapshot, voters} = voter.state;
 	const formation = snapshot.voters.length > 0 ? snapshot.voters : voters;
 	return {
@@ -20,21 +20,21 @@
 	};
 };
 
-/** VMs with empty disks that ask each other who they are, as the daemon does, each answer at its own time. */
+/** Simulates VMs with empty disks that query each other to form a quorum, as the daemon does. Each answer arrives at its own random time. */
 export class FakeFormation {
 	readonly #random: () => number;
 	readonly #onFormed: (index: number, voters: readonly Voter[]) => void;
 	readonly #polls = new Map<number, Poll>();
-	/** What each voter would form, by its id. */
+	/** Ids of the voters with which each voter would form a quorum, by its own id. */
 	readonly #proposals = new Map<string, readonly string[]>();
 
-	/** @param onFormed - A VM starts with these voters; with none, it waits to be let in. */
+	/** @param onFormed - Called when a VM starts with the given voters; a VM without any waits to be admitted. */
 	constructor(random: () => number, onFormed: (index: number, voters: readonly Voter[]) => void) {
 		this.#random = random;
 		this.#onFormed = onFormed;
 	}
 
-	/** @param isReached - Whether a VM can be asked by another one. */
+	/** @param isReached - Returns true if messages from one VM reach another one. */
 	advance(now: number, voters: readonly FakeVoter[], isReached: (from: number, to: number) => boolean): void {
 		for (const [index, {record, isUp, isFrozen, isFormed}] of voters.entries()) {
 			const poll = this.#polls.get(index);
@@ -43,7 +43,7 @@
 			} else if (poll?.id !== record.id) {
 				this.#polls.set(index, this.#newPoll(now, record.id, index, voters.length));
 			} else if (!isFrozen) {
-				this.#look(now, index, poll, voters, isReached);
+				this.#query(now, index, poll, voters, isReached);
 			}
 		}
 	}
@@ -54,19 +54,19 @@
 		const callMs = this.#random() < 0.5 ? FORMATION_POLL_MS : CALL_TIMEOUT_MS;
 		return {
 			id,
-			lookAt: new Map(others.map(other => [other, startsAt + (this.#random() * callMs)])),
+			queryAt: new Map(others.map(other => [other, startsAt + (this.#random() * callMs)])),
 			found: [],
 			endsAt: startsAt + callMs,
 		};
 	}
 
-	#look(now: number, index: number, poll: Poll, voters: readonly FakeVoter[], isReached: (from: number, to: number) => boolean): void {
-		for (const [other, at] of poll.lookAt) {
+	#query(now: number, index: number, poll: Poll, voters: readonly FakeVoter[], isReached: (from: number, to: number) => boolean): void {
+		for (const [other, at] of poll.queryAt) {
 			if (now >= at) {
-				poll.lookAt.delete(other);
+				poll.queryAt.delete(other);
 				const {isUp, isFrozen} = voters[other];
 				if (isUp && !isFrozen && isReached(index, other) && isReached(other, index)) {
-					poll.found.push(getFound(voters[other], this.#proposals.get(voters[other].record.id) ?? []));
+					poll.found.push(newDiscoveredVoter(voters[other], this.#proposals.get(voters[other].record.id) ?? []));
 				}
 			}
 		}
--- a/packages/consensus/tests/fake-voter.ts
+++ b/packages/consensus/tests/fake-voter.ts
@@ -10,28 +10,28 @@
 	readonly onSend: (from: string, to: string, message: ConsensusMessage) => void;
 	readonly onApply: (id: string, entry: LogEntry) => void;
 	readonly onCommitted: (proposalId: string, index: number) => void;
-	/** It runs again and has not looked at its messages yet: a read may be served first. */
+	/** Called when the voter has resumed but has not processed its queued messages yet; it may serve a read before them. */
 	readonly onThawed: () => void;
 };
 
-/** One voter over virtual time: the shipping state machine with a disk that can be slow, lost or torn. */
+/** Runs one voter on virtual time: the production state machine with a disk that may be slow or lost, or lose its last unsynced writes. */
 export class FakeVoter {
 	readonly disk: FakeDisk;
 	state: ConsensusState;
 	isUp = true;
 	isFrozen = false;
 	isDiskSlow = false;
-	/** Whether it has started with what it knows of a quorum. */
+	/** True if the voter has started as a member of a quorum; false while it still looks for one. */
 	isFormed = true;
-	/** Highest index applied since the last start or restore. */
+	/** Entries applied since the last start. */
 	applied: LogEntry[] = [];
-	/** Time that the voter's clock has missed in suspensions, and since when it is suspended. */
-	#lostMs = 0;
+	/** Time in milliseconds that the voter's clock has missed in suspensions, and the start of the current suspension. */
+	#missedMs = 0;
 	#suspendedAt: number | undefined;
 	readonly #events: VoterEvents;
 	readonly #mutation: Mutation;
 	#unsynced: ConsensusEffect[] = [];
-	/** Events that arrived while frozen. */
+	/** Messages that arrived while the voter was frozen. */
 	#inbox: ConsensusEvent[] = [];
 
 	constructor(readonly record: Voter, stored: StoredLog, now: number, mutation: Mutation, events: VoterEvents) {
@@ -41,7 +41,7 @@
 		this.state = newConsensusState(stored, QUORUM_SETTINGS, now);
 	}
 
-	take(event: ConsensusEvent, now: number): void {
+	handle(event: ConsensusEvent, now: number): void {
 		if (!this.isUp || !this.isFormed) {
 			return;
 		}
@@ -54,7 +54,7 @@
 			return;
 		}
 
-		this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, this.#mutate(event), this.#toOwn(now)));
+		this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, this.#mutate(event), this.#toLocalTime(now)));
 		if (this.#mutation === 'send before sync') {
 			this.#sendUnsynced();
 		}
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Writes all that is pending, then carries out what had to wait for it. */
+	/** Writes all pending effects to the disk, then executes the effects that had to wait for them. */
 	sync(now: number): void {
 		while (this.#unsynced.length > 0 && this.isUp && !this.isFrozen) {
 			const batch = this.#unsynced;
@@ -72,12 +72,12 @@
 			const persisted = batch.filter(effect => isPersistEffect(effect));
 			this.disk.sync(this.#mutation === 'forget votes' ? persisted.filter(effect => effect.kind !== 'persistHardState') : persisted);
 			for (const effect of batch) {
-				this.#carryOut(effect);
+				this.#execute(effect);
 			}
 
 			const last = persisted.flatMap(effect => effect.kind === 'persistHardState' ? [] : effect.entries).at(-1);
 			if (last) {
-				this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, {kind: 'synced', index: last.index, term: last.term}, this.#toOwn(now)));
+				this.#unsynced.push(...mutateConsensus(this.state, QUORUM_SETTINGS, {kind: 'synced', index: last.index, term: last.term}, this.#toLocalTime(now)));
 			}
 		}
 	}
@@ -90,17 +90,17 @@
 		this.#inbox = [];
 	}
 
-	/** @param jitter - Where in its time the first election falls due. */
+	/** @param jitter - A number in [0, 1) that selects the time of the first election within its range. */
 	restart(now: number, jitter = 0): void {
 		this.isUp = true;
 		this.applied = [];
-		this.state = newConsensusState(this.disk.load(), QUORUM_SETTINGS, this.#toOwn(now), jitter);
+		this.state = newConsensusState(this.disk.load(), QUORUM_SETTINGS, this.#toLocalTime(now), jitter);
 		if (this.#mutation === 'forget lease') {
 			this.state.leaderContactAt = Number.NEGATIVE_INFINITY;
 		}
 	}
 
-	/** Stands still as in a freeze, and its clock too. */
+	/** Freezes the voter and also stops its clock. */
 	suspend(now: number): void {
 		if (this.isUp && !this.isFrozen) {
 			this.isFrozen = true;
@@ -115,26 +115,26 @@
 		const inbox = this.#inbox;
 		this.#inbox = [];
 		for (const event of inbox) {
-			this.take(event, now);
+			this.handle(event, now);
 		}
 	}
 
 	isAskingToJoin(now: number): boolean {
-		return isAskingToJoin(this.state, QUORUM_SETTINGS, this.#toOwn(now));
+		return isAskingToJoin(this.state, QUORUM_SETTINGS, this.#toLocalTime(now));
 	}
 
 	hasLease(now: number): boolean {
 		const entry = this.state.log[this.state.commitIndex - this.state.snapshot.index - 1];
 		const hasOwnCommit = (entry?.term ?? this.state.snapshot.term) === this.state.term;
-		return this.isUp && !this.isFrozen && hasOwnCommit && this.#toOwn(now) < getLeaseEnd(this.state, QUORUM_SETTINGS, this.#toOwn(now));
+		return this.isUp && !this.isFrozen && hasOwnCommit && this.#toLocalTime(now) < getLeaseEnd(this.state, QUORUM_SETTINGS, this.#toLocalTime(now));
 	}
 
-	getReducedVoters(silenceMs: number, leastVoters: number, now: number): readonly Voter[] | undefined {
-		return getReducedVoters(this.state, silenceMs, this.#toOwn(now), leastVoters);
+	getReducedVoters(silenceMs: number, minVoters: number, now: number): readonly Voter[] | undefined {
+		return getReducedVoters(this.state, silenceMs, this.#toLocalTime(now), minVoters);
 	}
 
-	#toOwn(now: number): number {
-		return now - this.#lostMs;
+	#toLocalTime(now: number): number {
+		return now - this.#missedMs;
 	}
 
 	#resume(now: number): void {
@@ -142,10 +142,10 @@
 			return;
 		}
 
-		this.#lostMs += now - this.#suspendedAt;
+		this.#missedMs += now - this.#suspendedAt;
 		this.#suspendedAt = undefined;
 		if (this.#mutation !== 'ignore suspension') {
-			this.take({kind: 'resumed'}, now);
+			this.handle({kind: 'resumed'}, now);
 		}
 	}
 
@@ -162,11 +162,11 @@
 		const sends = this.#unsynced.filter(effect => effect.kind === 'send');
 		this.#unsynced = this.#unsynced.filter(effect => effect.kind !== 'send');
 		for (const effect of sends) {
-			this.#carryOut(effect);
+			this.#execute(effect);
 		}
 	}
 
-	#carryOut(effect: ConsensusEffect): void {
+	#execute(effect: ConsensusEffect): void {
 		switch (effect.kind) {
 			case 'send': {
 				this.#events.onSend(this.record.id, effect.to, effect.message);
--- a/packages/consensus/tests/membership.steps.ts
+++ b/packages/consensus/tests/membership.steps.ts
@@ -2,7 +2,7 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {newRandom} from '../../../tests/support/new-random.js';
 import {FakeQuorum} from './fake-quorum.js';
-import {getBorneSets} from './get-borne-sets.js';
+import {getToleratedSets} from './get-tolerated-sets.js';
 import {QUORUM_SETTINGS} from './quorum-settings.js';
 import {
 	type ConsensusState, type Voter, getBorneLosses, getLeastVoters, getNextMembership, getReducedVoters, isGrowing, mutateConsensus,
@@ -19,7 +19,7 @@
 const FORM_MS = 1500;
 const SILENT_MS = 2000;
 const ENTRY_MS = 50;
-const MOST_ENTRIES = 5;
+const MAX_ENTRIES = 5;
 const LONG_MS = 5000;
 const GROWTH_MS = 2000;
 
@@ -30,14 +30,17 @@
 	}
 };
 
-/** As leader, lets the voter go that is down, and sometimes forgets the entries that it has not got. */
-const letGo = (quorum: FakeQuorum, gone: string, isCompacted: boolean): void => {
+/**
+ * Lets the leader remove a voter that is down, and compact its log if requested, so that the leader no longer has the entries that this voter
+ * lacks.
+ */
+const removeVoter = (quorum: FakeQuorum, removedId: string, isCompacted: boolean): void => {
 	const {state} = quorum.leader!;
-	quorum.leader!.take({kind: 'configure', proposalId: 'let go', voters: state.voters.filter(voter => voter.id !== gone)}, quorum.now);
+	quorum.leader!.handle({kind: 'configure', proposalId: 'let go', voters: state.voters.filter(voter => voter.id !== removedId)}, quorum.now);
 	quorum.advance(ENTRY_MS);
-	assert.ok(state.voters.every(voter => voter.id !== gone));
+	assert.ok(state.voters.every(voter => voter.id !== removedId));
 	if (isCompacted) {
-		quorum.leader!.take({kind: 'compact', index: state.appliedIndex, data: 'state'}, quorum.now);
+		quorum.leader!.handle({kind: 'compact', index: state.appliedIndex, data: 'state'}, quorum.now);
 	}
 };
 
@@ -45,27 +48,28 @@
 	const random = newRandom(seed);
 	const quorum = new FakeQuorum(seed, 'none', {size, losses: getBorneLosses(size)});
 	quorum.advance(FORM_MS);
-	proposeSome(quorum, Math.floor(random() * MOST_ENTRIES));
+	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	const position = (quorum.leaderIndex + 1 + Math.floor(random() * (size - 1))) % size;
 	const gone = quorum.voters[position];
-	// An entry may still be on its way to it, so that its log is longer than what is committed, or shorter.
+	// The voter may crash before it has stored this entry or before the entry is committed, so its log may be shorter or longer than the committed
+	// one.
 	quorum.voters[position].isDiskSlow = random() < 0.5;
 	quorum.propose(quorum.leaderIndex);
 	quorum.advance(10);
 	gone.crash();
-	proposeSome(quorum, Math.floor(random() * MOST_ENTRIES));
+	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	quorum.advance(SILENT_MS);
-	letGo(quorum, gone.record.id, random() < 0.5);
-	proposeSome(quorum, Math.floor(random() * MOST_ENTRIES));
+	removeVoter(quorum, gone.record.id, random() < 0.5);
+	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	gone.restart(quorum.now);
-	quorum.lossShare = 0.2;
+	quorum.lossProbability = 0.2;
 	quorum.delayMs = 50;
-	proposeSome(quorum, MOST_ENTRIES);
+	proposeSome(quorum, MAX_ENTRIES);
 	quorum.settle();
 	assert.ok(quorum.leader!.state.voters.some(voter => voter.id === gone.record.id && !voter.isLearner), `seed ${seed}: it votes again under its id`);
 };
 
-Then('in {int} quorums of {int} voters one that was let go while it was down follows again, and nothing acknowledged is undone', (count: number, size: number) => {
+Then('in {int} quorums of {int} voters a voter that was removed while it was down follows again, and no acknowledged command is undone', (count: number, size: number) => {
 	for (let seed = 1; seed <= count; seed += 1) {
 		checkReturn(seed, size);
 	}
@@ -86,7 +90,7 @@
 	assert.ok(this.state.voters.some(({id}) => id === learner.id));
 });
 
-const getLetGo = ({state, joinedAt}: MembershipWorld, laterMs: number, silenceMs: number): string[] => {
+const getRemovedIds = ({state, joinedAt}: MembershipWorld, laterMs: number, silenceMs: number): string[] => {
 	const now = joinedAt + laterMs;
 	for (const [id, progress] of state.peers) {
 		progress.ackedSentAt = id === 'learner' ? progress.ackedSentAt : now;
@@ -96,12 +100,12 @@
 	return state.voters.filter(voter => !kept.includes(voter)).map(({id}) => id);
 };
 
-Then('{int} ms later nobody is let go as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
-	assert.deepEqual(getLetGo(this, laterMs, silenceMs), []);
+Then('{int} ms later nobody is removed as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
+	assert.deepEqual(getRemovedIds(this, laterMs, silenceMs), []);
 });
 
-Then('{int} ms later the learner is let go as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
-	assert.deepEqual(getLetGo(this, laterMs, silenceMs), ['learner']);
+Then('{int} ms later the learner is removed as silent for {int} ms', function (this: MembershipWorld, laterMs: number, silenceMs: number) {
+	assert.deepEqual(getRemovedIds(this, laterMs, silenceMs), ['learner']);
 });
 
 const newMember = (vm: string, generation: string): Voter => ({
@@ -110,67 +114,67 @@
 
 type NextStep = typeof getNextMembership;
 
-/** The order that is not in use: the new identity votes before the old one leaves. */
-const getVotesFirst: NextStep = (voters, wished) => {
-	const known = voters.find(({id}) => id === wished.id);
+/** Returns the next configuration in the order that is not in use: the new identity votes before the old one is removed. */
+const getNextWithEarlyVote: NextStep = (voters, joining) => {
+	const known = voters.find(({id}) => id === joining.id);
 	if (!known) {
-		return [...voters, {...wished, isLearner: true}];
+		return [...voters, {...joining, isLearner: true}];
 	}
 
 	if (known.isLearner) {
-		return voters.map(voter => voter.id === wished.id ? wished : voter);
+		return voters.map(voter => voter.id === joining.id ? joining : voter);
 	}
 
-	const rest = voters.filter(({vm, id}) => vm !== wished.vm || id === wished.id);
+	const rest = voters.filter(({vm, id}) => vm !== joining.vm || id === joining.id);
 	return rest.length < voters.length ? rest : undefined;
 };
 
-/** All configurations from the loss on. */
+/** Returns the configurations after the loss and after each replacement step. */
 const getSteps = ({voters, lost}: MembershipWorld, getNext: NextStep): Array<readonly Voter[]> => {
 	const steps: Array<readonly Voter[]> = [voters];
 	for (const {vm} of voters.slice(0, lost)) {
-		const wished = newMember(vm, '-new');
-		let next = getNext(steps.at(-1)!, wished, true);
+		const joining = newMember(vm, '-new');
+		let next = getNext(steps.at(-1)!, joining, true);
 		while (next) {
 			steps.push(next);
-			next = getNext(next, wished, true);
+			next = getNext(next, joining, true);
 		}
 	}
 
 	return steps;
 };
 
-const getBorneAfter = (world: MembershipWorld, getNext: NextStep): Array<ReturnType<typeof getBorneSets>> => {
+const getToleratedAfterEachStep = (world: MembershipWorld, getNext: NextStep): Array<ReturnType<typeof getToleratedSets>> => {
 	const dead = new Set(world.voters.slice(0, world.lost).map(({id}) => id));
-	return getSteps(world, getNext).map(members => getBorneSets(members, dead));
+	return getSteps(world, getNext).map(members => getToleratedSets(members, dead));
 };
 
-const getText = (borne: ReturnType<typeof getBorneAfter>): string => borne.map(({losses, sets}) => `${losses}:${sets}`).join(' ');
+const getText = (tolerated: ReturnType<typeof getToleratedAfterEachStep>): string => tolerated.map(({losses, sets}) => `${losses}:${sets}`).join(' ');
 
 Given('{int} voters of which {int} have lost their disks at once', function (this: MembershipWorld, count: number, lost: number) {
 	this.voters = Array.from({length: count}, (_, index) => newMember(`vm-${index}`, ''));
 	this.lost = lost;
 });
 
-Then('these losses are borne after each step if the old one leaves first {string}, if the new one votes first {string}', function (this: MembershipWorld, leavesFirst: string, votesFirst: string) {
-	assert.equal(getText(getBorneAfter(this, getNextMembership)), leavesFirst);
-	assert.equal(getText(getBorneAfter(this, getVotesFirst)), votesFirst);
+Then('these losses are tolerated after each step, old identity leaves first: {string}, new one votes first: {string}', function (this: MembershipWorld, leavesFirst: string, votesFirst: string) {
+	assert.equal(getText(getToleratedAfterEachStep(this, getNextMembership)), leavesFirst);
+	assert.equal(getText(getToleratedAfterEachStep(this, getNextWithEarlyVote)), votesFirst);
 });
 
-Then('the order in use is the one where the old one leaves first, and bears at least as much after each step', function (this: MembershipWorld) {
-	const used = getBorneAfter(this, getNextMembership);
-	const other = getBorneAfter(this, getVotesFirst);
+Then('the order in use is the one in which the old identity leaves first, and it tolerates at least as much after each step', function (this: MembershipWorld) {
+	const used = getToleratedAfterEachStep(this, getNextMembership);
+	const other = getToleratedAfterEachStep(this, getNextWithEarlyVote);
 	assert.equal(used.length, other.length);
 	for (const [step, {losses, sets}] of used.entries()) {
 		assert.ok(losses >= other[step].losses && sets >= other[step].sets, `after step ${step}`);
 	}
 });
 
-Then('up to {int} losses are borne by twice as many voters and one more, and by no fewer', (most: number) => {
+Then('up to {int} losses are tolerated by twice as many voters plus one, and by no fewer', (most: number) => {
 	for (let losses = 1; losses <= most; losses += 1) {
 		for (let count = 1; count <= (2 * losses) + 1; count += 1) {
 			const voters = Array.from({length: count}, (_, index) => newMember(`vm-${index}`, ''));
-			assert.equal(getBorneSets(voters, new Set()).losses >= losses, count > 2 * losses, `${count} voters, ${losses} losses`);
+			assert.equal(getToleratedSets(voters, new Set()).losses >= losses, count > 2 * losses, `${count} voters, ${losses} losses`);
 		}
 	}
 });
@@ -186,17 +190,17 @@
 	}
 });
 
-Then('it waits for more where {int} losses must be borne: {word}', function (this: MembershipWorld, losses: number, isWaiting: string) {
+Then('an acknowledgement waits for more voters if {int} losses must be tolerated: {word}', function (this: MembershipWorld, losses: number, isWaiting: string) {
 	assert.equal(isGrowing(this.state, getLeastVoters(losses), GROWTH_MS, this.quorum.now), isWaiting === 'yes');
 });
 
 const toMember = (text: string): Voter => ({...newMember(text[0], text[1]), isLearner: text.endsWith('?')});
 
-Given('members {string} of VMs of the same letter, learners with a question mark', function (this: MembershipWorld, members: string) {
+Given('members {string}, each named by the letter of its VM and a number, with a question mark for learners', function (this: MembershipWorld, members: string) {
 	this.voters = members.split(' ').map(text => toMember(text));
 });
 
-Then('{string}, caught up: {word}, is let in by {string}', function (this: MembershipWorld, asking: string, isCaughtUp: string, next: string) {
+Then('when {string} asks to join, caught up: {word}, the next members are {string}', function (this: MembershipWorld, asking: string, isCaughtUp: string, next: string) {
 	const members = getNextMembership(this.voters, toMember(asking), isCaughtUp === 'yes');
 	assert.equal(members?.map(({id, isLearner}) => `${id}${isLearner ? '?' : ''}`).join(' ') ?? 'nothing', next);
 });
--- a/packages/membership/src/vm-orders.ts
+++ b/packages/membership/src/vm-orders.ts
@@ -1,5 +1,5 @@
-/** A grant as its VM learns of it. */
-type OrderedGrant = {
+/** A grant of memory for a replica, in the form in which it is sent to its VM. */
+type VmGrant = {
 	readonly id: string;
 	readonly unit: string;
 	readonly base: string;
@@ -8,9 +8,9 @@
 	readonly isRevoking: boolean;
 };
 
-/** What the leader wants of one VM at a revision. */
+/** The target state of one VM at a revision of the configuration. */
 export type VmOrders = {
 	readonly revision: number;
 	readonly isDrained: boolean;
-	readonly grants: readonly OrderedGrant[];
+	readonly grants: readonly VmGrant[];
 };
