--- a/apps/valelead-daemon/src/control/controller-peers.ts
+++ b/apps/valelead-daemon/src/control/controller-peers.ts
@@ -1,6 +1,6 @@
 import {create} from '@bufbuild/protobuf';
 import {RESULT_CODE, type TimerService, ValeleadError} from '@valelead/common';
-import type {FoundVoter, Voter as VoterRecord} from '@valelead/consensus';
+import type {DiscoveredVoter, Voter as VoterRecord} from '@valelead/consensus';
 import {
 	type ChannelPool, type IdentifyReply, type JoinReply, Consensus, IdentifyRequestSchema, JoinRequestSchema,
 } from '@valelead/protocol';
@@ -27,7 +27,7 @@
 /** Maximum rounds of join calls: to the known leader, to the controllers of the settings and those they know, and to the leader named by these. */
 const MAX_JOIN_ROUNDS = 3;
 
-const toFoundVoter = ({address, reply: {id, vm, isFormed, isStandby, proposal, formation}}: IdentifiedPeer): FoundVoter => ({
+const toFoundVoter = ({address, reply: {id, vm, isFormed, isStandby, proposal, formation}}: IdentifiedPeer): DiscoveredVoter => ({
 	voter: {
 		id, vm, address, isLearner: false,
 	},
@@ -60,7 +60,7 @@
 	}
 
 	/** Returns the configured controllers that reply, and the voters reported by diskless ones if they already belong to a quorum. */
-	async findVoters(): Promise<FoundVoter[]> {
+	async findVoters(): Promise<DiscoveredVoter[]> {
 		const configured = await this.#identify(this.#configured);
 		this.#recordDiscovered(configured);
 		const named = await this.#identify(this.#discovered.filter(address => !this.#configured.includes(address)));
--- a/apps/valelead-daemon/src/control/endpoint-table.ts
+++ b/apps/valelead-daemon/src/control/endpoint-table.ts
@@ -1,7 +1,7 @@
 import {create} from '@bufbuild/protobuf';
 import {type Intent, isDrained} from '@valelead/intent';
 import {
-	type Fleet, type MembershipSettings, type VmReport, isLive,
+	type Fleet, type MembershipSettings, type VmReport, isVmLive,
 } from '@valelead/membership';
 import {type Endpoint, EndpointSchema} from '@valelead/protocol';
 
@@ -44,7 +44,7 @@
 	#newEndpoint(intent: Intent, fleet: Fleet, membership: MembershipSettings, vm: string, now: number): Endpoint {
 		const report = fleet.vms.get(vm)?.report;
 		const known = intent.vms.get(vm);
-		const isOpen = report && known?.incarnation === report.incarnation && isLive(fleet, membership, vm, now) && !isDrained(intent, vm) && !report.isLeaving;
+		const isOpen = report && known?.incarnation === report.incarnation && isVmLive(fleet, membership, vm, now) && !isDrained(intent, vm) && !report.isLeaving;
 		if (!isOpen) {
 			return create(EndpointSchema, {vm, isClosed: true});
 		}
--- a/apps/valelead-daemon/src/control/explain-model.ts
+++ b/apps/valelead-daemon/src/control/explain-model.ts
@@ -2,7 +2,7 @@
 import {
 	type Intent, type Unit, type Vm, getCommittedBytes, getUnit, getUnitKey, isDrained,
 } from '@valelead/intent';
-import {isLive} from '@valelead/membership';
+import {isVmLive} from '@valelead/membership';
 import type {Row} from '@valelead/language/rows';
 import type {Leader} from './leader.js';
 import type {Voter} from './voter.js';
@@ -18,7 +18,7 @@
 		return 'the VM offers a service, not an engine';
 	}
 
-	if (!isLive(leader.fleet, leader.membership, vm.name, SYSTEM_CLOCK.now())) {
+	if (!isVmLive(leader.fleet, leader.membership, vm.name, SYSTEM_CLOCK.now())) {
 		return 'the lease of the VM has ended';
 	}
 
--- a/apps/valelead-daemon/src/control/follower-sessions.ts
+++ b/apps/valelead-daemon/src/control/follower-sessions.ts
@@ -318,7 +318,7 @@
 	 */
 	#redirect(session: FollowerSession): void {
 		const {node, machine: {routing}, leaderAddress} = this.#voter;
-		const isInformed = node?.isInformed === true;
+		const isInformed = node?.hasRecoveredState === true;
 		const isNewer = isInformed && session.confirmed.routingVersion > 0 && routing !== undefined && routing.version > session.sent.routingVersion;
 		session.stream.write(create(SessionUpdateSchema, {
 			isCurrent: false, leaderAddress, isOutside: this.#watch.isOutside, ...(isNewer && {routing}), ...(isInformed && this.#newQuarantine(session)),
--- a/apps/valelead-daemon/src/control/leader.ts
+++ b/apps/valelead-daemon/src/control/leader.ts
@@ -1,7 +1,7 @@
 import {type TimerService, RESULT_CODE, SYSTEM_CLOCK} from '@valelead/common';
 import {type Command, isOlderIncarnation} from '@valelead/intent';
 import {
-	type EntryReport, type Fleet, type MembershipSettings, type VmReport, getLostVms, getReportCommand, mutateFleet, newFleet,
+	type EntryReport, type Fleet, type MembershipSettings, type VmReport, getLostVms, getReportCommand, mutateExpiredEntries, newFleet,
 } from '@valelead/membership';
 import {
 	type PlacementDecision, type PlacementState, type PolicySettings, decidePlacement, newPlacementState,
@@ -122,7 +122,7 @@
 		}
 
 		this.#isDeciding = true;
-		mutateFleet(this.#fleet, this.#parts.membership, now);
+		mutateExpiredEntries(this.#fleet, this.#parts.membership, now);
 		const {intent} = this.#parts.voter.machine;
 		const arrivals = this.#arrivals;
 		this.#arrivals = new Map();
--- a/apps/valelead-daemon/src/control/new-listing.ts
+++ b/apps/valelead-daemon/src/control/new-listing.ts
@@ -1,6 +1,6 @@
 import {RESULT_CODE, SYSTEM_CLOCK, ValeleadError} from '@valelead/common';
 import {type Intent, getCommittedBytes, isDrained} from '@valelead/intent';
-import {getDemands, isLive} from '@valelead/membership';
+import {getDemands, isVmLive} from '@valelead/membership';
 import type {Row} from '@valelead/language/rows';
 import type {Leader} from './leader.js';
 import type {Voter} from './voter.js';
@@ -46,7 +46,7 @@
 		inProgress: received?.report.inProgress ?? 0,
 		isDrained: isDrained(intent, name),
 		isLeaving: received?.report.isLeaving ?? false,
-		isLive: isLive(leader.fleet, leader.membership, name, now),
+		isLive: isVmLive(leader.fleet, leader.membership, name, now),
 		silentMs: received ? Math.round(now - received.receivedAt) : -1,
 	};
 };
--- a/apps/valelead-daemon/src/control/new-placement-view.ts
+++ b/apps/valelead-daemon/src/control/new-placement-view.ts
@@ -2,7 +2,7 @@
 	type Intent, type Unit, getUnit, isDrained,
 } from '@valelead/intent';
 import {
-	type Fleet, type MembershipSettings, type UnitDemand, type UnitReport, getDemands, isLive,
+	type Fleet, type MembershipSettings, type UnitDemand, type UnitReport, getDemands, isVmLive,
 } from '@valelead/membership';
 import type {
 	PlacementReplica, PlacementState, PlacementUnit, PlacementView, PlacementVm,
@@ -47,7 +47,7 @@
 	const vm = intent.vms.get(name)!;
 	const report = fleet.vms.get(name)?.report;
 	const isVmDrained = isDrained(intent, name);
-	const isReporting = report?.incarnation === vm.incarnation && isLive(fleet, membership, name, now);
+	const isReporting = report?.incarnation === vm.incarnation && isVmLive(fleet, membership, name, now);
 	return {
 		name,
 		memoryBytes: vm.memoryBytes,
--- a/apps/valelead-daemon/src/control/quorum-watch.ts
+++ b/apps/valelead-daemon/src/control/quorum-watch.ts
@@ -1,5 +1,5 @@
 import type {Clock, TimerService, TimerSubscription} from '@valelead/common';
-import {type QuorumView, type Voter as VoterRecord, getBorneLosses} from '@valelead/consensus';
+import {type QuorumView, type Voter as VoterRecord, getToleratedLosses} from '@valelead/consensus';
 import type {Logger} from 'pino';
 import type {Voter} from './voter.js';
 
@@ -28,7 +28,7 @@
 
 const getName = ({vm, id}: VoterRecord): string => `${vm}/${id}`;
 
-const getKey = ({voters, heard}: QuorumView): string => [...voters, ...heard].map(voter => voter.id).join(' ');
+const getKey = ({voters, reachable: heard}: QuorumView): string => [...voters, ...heard].map(voter => voter.id).join(' ');
 
 /** Logs how many voter failures the quorum tolerates, which voters are reachable, and for how long no leader has been known. */
 export class QuorumWatch {
@@ -57,7 +57,7 @@
 
 	/** The quorum as this voter sees it; undefined while it belongs to none. */
 	get view(): QuorumView | undefined {
-		return this.#parts.voter.node?.getView(VOTER_SILENCE_MS);
+		return this.#parts.voter.node?.getQuorumView(VOTER_SILENCE_MS);
 	}
 
 	#check(now: number): void {
@@ -95,7 +95,7 @@
 			leaderlessMs: Math.round(now - this.#leaderKnownAt),
 			term: view?.term,
 			voters: view?.voters.map(member => getName(member)) ?? [],
-			heard: view?.heard.map(member => getName(member)) ?? [],
+			heard: view?.reachable.map(member => getName(member)) ?? [],
 			needed: view && Math.floor(view.voters.length / 2) + 1,
 		}, view ? 'no leader is known; an election needs a majority of the voters to be reachable' : 'this voter belongs to no quorum yet');
 	}
@@ -108,9 +108,9 @@
 
 		this.#loggedKey = key;
 		const {faultTolerance, logger} = this.#parts;
-		const borneLosses = getBorneLosses(view.voters.length);
+		const borneLosses = getToleratedLosses(view.voters.length);
 		const line = {
-			event: 'quorum', term: view.term, voters: view.voters.map(member => getName(member)), heard: view.heard.map(member => getName(member)), borneLosses, faultTolerance,
+			event: 'quorum', term: view.term, voters: view.voters.map(member => getName(member)), heard: view.reachable.map(member => getName(member)), borneLosses, faultTolerance,
 		};
 		if (borneLosses < faultTolerance) {
 			logger.warn(line, 'the quorum has too few voters for the configured fault tolerance');
--- a/apps/valelead-daemon/src/control/transfer-leadership.ts
+++ b/apps/valelead-daemon/src/control/transfer-leadership.ts
@@ -7,7 +7,7 @@
 /** Transfers leadership to another voter before a planned stop, if this voter is the leader. */
 export const transferLeadership = async (voter: Voter, timers: TimerService): Promise<void> => {
 	if (voter.node?.isLeader) {
-		voter.node.transfer();
+		voter.node.transferLeadership();
 		await timers.wait(TRANSFER_WAIT_MS);
 	}
 };
--- a/apps/valelead-daemon/src/control/voter-membership.ts
+++ b/apps/valelead-daemon/src/control/voter-membership.ts
@@ -2,7 +2,7 @@
 	type TimerService, RESULT_CODE, SYSTEM_CLOCK, ValeleadError,
 } from '@valelead/common';
 import {
-	type ConsensusNode, type Voter as VoterRecord, getLeastVoters, getNextMembership,
+	type ConsensusNode, type Voter as VoterRecord, getMinVoters, getNextMembership,
 } from '@valelead/consensus';
 import type {Logger} from 'pino';
 import type {ControllerPeers} from './controller-peers.js';
@@ -69,9 +69,9 @@
 	 */
 	async waitForVoters(): Promise<void> {
 		const {getNode, faultTolerance, timers} = this.#parts;
-		const leastVoters = getLeastVoters(faultTolerance);
+		const leastVoters = getMinVoters(faultTolerance);
 		const endsAt = SYSTEM_CLOCK.now() + MAX_GROWTH_WAIT_MS;
-		while (getNode()?.isGrowing(leastVoters, GROWTH_MS) && SYSTEM_CLOCK.now() < endsAt) {
+		while (getNode()?.isExpectingVoters(leastVoters, GROWTH_MS) && SYSTEM_CLOCK.now() < endsAt) {
 			await timers.wait(GROWTH_POLL_MS);
 			if (!getNode()?.isLeader) {
 				throw new ValeleadError('Another voter leads now', {code: RESULT_CODE.NotLeader});
@@ -109,7 +109,7 @@
 	async #removeSilentVoter(): Promise<void> {
 		const {getNode, faultTolerance, logger} = this.#parts;
 		const node = getNode();
-		const voters = node?.getReducedVoters(SILENT_VOTER_MS, getLeastVoters(faultTolerance));
+		const voters = node?.getVotersWithoutSilent(SILENT_VOTER_MS, getMinVoters(faultTolerance));
 		if (!node || !voters) {
 			return;
 		}
--- a/apps/valelead-daemon/src/control/voter.ts
+++ b/apps/valelead-daemon/src/control/voter.ts
@@ -5,7 +5,7 @@
 	type TimerService, RESULT_CODE, SYSTEM_CLOCK, SYSTEM_SUSPENSIONS, ValeleadError, assertNever,
 } from '@valelead/common';
 import {
-	type FormationDecision, type FoundVoter, type StoredLog, type Voter as VoterRecord, ConsensusNode, FileStorage, getFormation,
+	type FormationDecision, type DiscoveredVoter, type StoredLog, type Voter as VoterRecord, ConsensusNode, FileStorage, getFormationDecision,
 } from '@valelead/consensus';
 import type {ChannelPool} from '@valelead/protocol';
 import type {
@@ -257,7 +257,7 @@
 	async #form(): Promise<void> {
 		while (!this.#node && !this.#isStopped) {
 			const peers = await this.#peers.findVoters();
-			const decision = getFormation(this.record, this.#peers.configured.length, peers);
+			const decision = getFormationDecision(this.record, this.#peers.configured.length, peers);
 			if (decision.kind !== 'wait' && this.#isAllowed(decision, peers)) {
 				const voters = decision.kind === 'form' ? decision.voters : [];
 				const stored: StoredLog = {
@@ -279,7 +279,7 @@
 	}
 
 	/** True if the decision may be carried out: a new quorum is formed only by configured voters and only at the first start of the installation. */
-	#isAllowed(decision: FormationDecision, peers: readonly FoundVoter[]): boolean {
+	#isAllowed(decision: FormationDecision, peers: readonly DiscoveredVoter[]): boolean {
 		if (decision.kind === 'join' || peers.some(peer => peer.isFormed)) {
 			return true;
 		}
--- a/apps/valelead-daemon/tests/crash-simulation.ts
+++ b/apps/valelead-daemon/tests/crash-simulation.ts
@@ -169,7 +169,7 @@
 				return voters.isLeading(index);
 			},
 			canRead: true,
-			isInformed: true,
+			hasRecoveredState: true,
 			voters: [],
 		};
 		const voter = {
--- a/apps/valelead-daemon/tests/follower.steps.ts
+++ b/apps/valelead-daemon/tests/follower.steps.ts
@@ -46,7 +46,7 @@
 	streams: Map<string, FakeStream>;
 	isSettled: boolean;
 	committed: {version: number; document: string};
-	node: {isCurrentLeader: boolean; canRead: boolean; isInformed: boolean; voters: readonly never[]};
+	node: {isCurrentLeader: boolean; canRead: boolean; hasRecoveredState: boolean; voters: readonly never[]};
 	/** A voter that started from its disk. `applied` is the last entry in its state, `reportedCommitIndex` the commit index that its leader reported. */
 	started: ConsensusNode;
 	applied: number;
@@ -291,7 +291,7 @@
 	world.committed = {version: 1, document: ''};
 	world.streams = new Map();
 	world.node = {
-		isCurrentLeader: isLeader, canRead: isLeader, isInformed: isLeader, voters: [],
+		isCurrentLeader: isLeader, canRead: isLeader, hasRecoveredState: isLeader, voters: [],
 	};
 	const voter = {node: world.node, machine: {routing: world.committed, subscribe: ignore}, leaderAddress: ''};
 	const registry = {epoch: 'e', directory: newDirectory()};
@@ -337,11 +337,11 @@
 });
 
 When('the voter becomes leader', function (this: FollowerWorld) {
-	Object.assign(this.node, {isCurrentLeader: true, canRead: true, isInformed: true});
+	Object.assign(this.node, {isCurrentLeader: true, canRead: true, hasRecoveredState: true});
 });
 
 When('the voter becomes leader and sends its followers a newer routing', function (this: FollowerWorld) {
-	Object.assign(this.node, {isCurrentLeader: true, canRead: true, isInformed: true});
+	Object.assign(this.node, {isCurrentLeader: true, canRead: true, hasRecoveredState: true});
 	this.committed.version = NEW_VERSION;
 	this.sessions.schedulePush();
 	this.time.advance(STEP_MS);
@@ -381,7 +381,7 @@
 });
 
 When('the voter has applied what a leader committed', function (this: FollowerWorld) {
-	this.node.isInformed = true;
+	this.node.hasRecoveredState = true;
 });
 
 const getSentVersions = ({streams}: FollowerWorld, vm: string): number[] => streams.get(vm)!.sent.flatMap(({routing}) => routing ? [routing.version] : []);
@@ -534,11 +534,11 @@
 });
 
 Then('the voter has applied up to entry {int} and does not know what was acknowledged', function (this: FollowerWorld, index: number) {
-	assert.deepEqual([this.applied, this.started.isInformed], [index, false]);
+	assert.deepEqual([this.applied, this.started.hasRecoveredState], [index, false]);
 });
 
 Then('the voter has applied up to entry {int} and knows what was acknowledged', function (this: FollowerWorld, index: number) {
-	assert.deepEqual([this.applied, this.started.isInformed], [index, true]);
+	assert.deepEqual([this.applied, this.started.hasRecoveredState], [index, true]);
 });
 
 const newOutsideReply: VoterRule = () => ({isCurrent: false, leaderAddress: '', isOutside: true});
--- a/packages/consensus/src/consensus-node.ts
+++ b/packages/consensus/src/consensus-node.ts
@@ -4,10 +4,10 @@
 import {getLastIndex} from './get-last-index.js';
 import {getLeaseEnd} from './get-lease-end.js';
 import {getTermAt} from './get-term-at.js';
-import {getReducedVoters} from './get-reduced-voters.js';
+import {getVotersWithoutSilent} from './get-voters-without-silent.js';
 import {getTransferTarget} from './get-transfer-target.js';
 import {isAskingToJoin} from './is-asking-to-join.js';
-import {isGrowing} from './is-growing.js';
+import {isExpectingVoters} from './is-expecting-voters.js';
 import {isPersistEffect} from './is-persist-effect.js';
 import {mutateConsensus} from './mutate-consensus.js';
 import {newConsensusState} from './new-consensus-state.js';
@@ -165,7 +165,7 @@
 	 * it since then know: it has applied an entry of the current term, which follows all earlier entries, and every entry up to the highest commit
 	 * index that it has received. It never becomes false again, because the state machine only moves forward.
 	 */
-	get isInformed(): boolean {
+	get hasRecoveredState(): boolean {
 		return this.#hasRecoveredState;
 	}
 
@@ -188,7 +188,7 @@
 	}
 
 	/** Transfers leadership to the reachable voter whose log is the most up to date. */
-	transfer(): void {
+	transferLeadership(): void {
 		const target = getTransferTarget(this.#state, this.#parts.settings, this.#parts.clock.now());
 		if (target) {
 			this.#handle({kind: 'transfer', to: target.id});
@@ -200,26 +200,26 @@
 	 * Returns undefined if none should be removed, or this voter is not the current leader.
 	 * @param minVoters - The number of voters below which none is removed.
 	 */
-	getReducedVoters(silenceMs: number, minVoters: number): readonly Voter[] | undefined {
-		return this.isCurrentLeader ? getReducedVoters(this.#state, silenceMs, this.#parts.clock.now(), minVoters) : undefined;
+	getVotersWithoutSilent(silenceMs: number, minVoters: number): readonly Voter[] | undefined {
+		return this.isCurrentLeader ? getVotersWithoutSilent(this.#state, silenceMs, this.#parts.clock.now(), minVoters) : undefined;
 	}
 
 	/** True if this leader has fewer voters than the minimum, and the last member was added, or its term began, less than the given time ago. */
-	isGrowing(minVoters: number, joinWindowMs: number): boolean {
-		return isGrowing(this.#state, minVoters, joinWindowMs, this.#parts.clock.now());
+	isExpectingVoters(minVoters: number, joinWindowMs: number): boolean {
+		return isExpectingVoters(this.#state, minVoters, joinWindowMs, this.#parts.clock.now());
 	}
 
 	/**
 	 * Returns this voter's view of the quorum.
 	 * @param silenceMs - A member that has sent no message for longer does not count as reachable, in milliseconds.
 	 */
-	getView(silenceMs: number): QuorumView {
+	getQuorumView(silenceMs: number): QuorumView {
 		const {selfId, term} = this.#state;
 		const now = this.#parts.clock.now();
 		const voters = this.#state.voters.filter(voter => !voter.isLearner);
 		const heard = voters.filter(({id}) => id === selfId || now - (this.#lastReceivedAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
 		return {
-			voters, heard, term, leader: this.leader, isLeader: this.isLeader,
+			voters, reachable: heard, term, leader: this.leader, isLeader: this.isLeader,
 		};
 	}
 
--- a/packages/consensus/src/found-voter.ts
+++ b/packages/consensus/src/discovered-voter.ts
@@ -1,7 +1,7 @@
 import type {Voter} from './voter.js';
 
 /** The answer of a controller to a voter with an empty disk that looks for a quorum. */
-export type FoundVoter = {
+export type DiscoveredVoter = {
 	readonly voter: Voter;
 	/** False if the controller has no disk; such a controller never has a vote. */
 	readonly canVote: boolean;
--- a/packages/consensus/src/get-borne-losses.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Returns how many voters may fail at once so that the remaining ones are still a majority. */
-export const getBorneLosses = (voterCount: number): number => Math.max(0, Math.ceil(voterCount / 2) - 1);
--- a/packages/consensus/src/get-formation.ts
+++ b/packages/consensus/src/get-formation-decision.ts
@@ -1,11 +1,11 @@
 import type {FormationDecision} from './formation-decision.js';
-import type {FoundVoter} from './found-voter.js';
+import type {DiscoveredVoter} from './discovered-voter.js';
 import type {Voter} from './voter.js';
 
-const getProposal = (self: Voter, peers: readonly FoundVoter[]): Voter[] => [self, ...peers.filter(peer => peer.canVote).map(peer => peer.voter)]
+const getProposal = (self: Voter, peers: readonly DiscoveredVoter[]): Voter[] => [self, ...peers.filter(peer => peer.canVote).map(peer => peer.voter)]
 	.sort((left, right) => left.vm < right.vm ? -1 : 1);
 
-const isSameProposal = (peers: readonly FoundVoter[], ids: readonly string[]): boolean => peers
+const isSameProposal = (peers: readonly DiscoveredVoter[], ids: readonly string[]): boolean => peers
 	.filter(peer => peer.canVote)
 	.every(({proposal}) => proposal.length === ids.length && proposal.every((id, index) => id === ids[index]));
 
@@ -21,7 +21,7 @@
  * @param expectedCount - Number of configured controllers, including this voter.
  * @param peers - The answers of the controllers that were reached in this round.
  */
-export const getFormation = (self: Voter, expectedCount: number, peers: readonly FoundVoter[]): FormationDecision => {
+export const getFormationDecision = (self: Voter, expectedCount: number, peers: readonly DiscoveredVoter[]): FormationDecision => {
 	// A peer that is joining and knows no voters yet cannot tell whether this voter is one of them.
 	const formed = peers.filter(peer => peer.isFormed && peer.formation.length > 0);
 	const own = formed.find(peer => peer.formation.some(voter => voter.id === self.id));
--- a/packages/consensus/src/get-reduced-voters.ts
+++ b/packages/consensus/src/get-voters-without-silent.ts
@@ -19,7 +19,7 @@
  * @param minVoters - 2f + 1 for the f failures that the settings require the quorum to tolerate. The remaining voters must still tolerate them,
  * because the removed voter may never return.
  */
-export const getReducedVoters = (state: ConsensusState, silenceMs: number, now: number, minVoters: number): readonly Voter[] | undefined => {
+export const getVotersWithoutSilent = (state: ConsensusState, silenceMs: number, now: number, minVoters: number): readonly Voter[] | undefined => {
 	const silent = state.voters.filter(voter => isSilent(state, voter, silenceMs, now));
 	const learner = silent.find(voter => voter.isLearner);
 	const count = state.voters.filter(voter => !voter.isLearner).length;
--- a/packages/consensus/src/is-growing.ts
+++ b/packages/consensus/src/is-expecting-voters.ts
@@ -6,7 +6,7 @@
  * @param minVoters - The minimum number of voters.
  * @param joinWindowMs - Time in milliseconds within which a further voter is expected after the last one.
  */
-export const isGrowing = (state: ConsensusState, minVoters: number, joinWindowMs: number, now: number): boolean => {
+export const isExpectingVoters = (state: ConsensusState, minVoters: number, joinWindowMs: number, now: number): boolean => {
 	const count = state.voters.filter(voter => !voter.isLearner).length;
 	// A configuration counts only once it is committed, that is, synced by a majority of its voters.
 	const isMinReached = count >= minVoters && state.votersIndex <= state.commitIndex;
--- a/packages/consensus/src/quorum-view.ts
+++ b/packages/consensus/src/quorum-view.ts
@@ -5,7 +5,7 @@
 	/** All members that have a vote. */
 	readonly voters: readonly Voter[];
 	/** The voters from which a message was received recently, and this voter itself. */
-	readonly heard: readonly Voter[];
+	readonly reachable: readonly Voter[];
 	readonly term: number;
 	readonly leader: Voter | undefined;
 	readonly isLeader: boolean;
--- a/packages/consensus/tests/fake-formation.ts
+++ b/packages/consensus/tests/fake-formation.ts
@@ -1,18 +1,18 @@
 import type {FakeVoter} from './fake-voter.js';
-import {type FoundVoter, type Voter, getFormation} from '@valelead/consensus';
+import {type DiscoveredVoter, type Voter, getFormationDecision} from '@valelead/consensus';
 
 type Poll = {
 	readonly id: string;
 	/** Virtual time at which each other VM is queried, by index. A VM that is down does not answer. */
 	readonly queryAt: Map<number, number>;
-	readonly found: FoundVoter[];
+	readonly found: DiscoveredVoter[];
 	readonly endsAt: number;
 };
 
 const FORMATION_POLL_MS = 200;
 const CALL_TIMEOUT_MS = 1000;
 
-const newDiscoveredVoter = (voter: FakeVoter, proposal: readonly string[]): FoundVoter => {
+const newDiscoveredVoter = (voter: FakeVoter, proposal: readonly string[]): DiscoveredVoter => {
 	const {snapshot, voters} = voter.state;
 	const formation = snapshot.voters.length > 0 ? snapshot.voters : voters;
 	return {
@@ -78,7 +78,7 @@
 	}
 
 	#decide(index: number, poll: Poll, voters: readonly FakeVoter[]): void {
-		const decision = getFormation(voters[index].record, voters.length, poll.found);
+		const decision = getFormationDecision(voters[index].record, voters.length, poll.found);
 		if (decision.kind === 'wait') {
 			this.#proposals.set(poll.id, decision.proposal);
 			return;
--- a/packages/consensus/tests/fake-quorum.ts
+++ b/packages/consensus/tests/fake-quorum.ts
@@ -321,7 +321,7 @@
 
 	#removeSilentVoter(voter: FakeVoter): void {
 		if (voter.hasLease(this.now)) {
-			this.#configure(voter, voter.getReducedVoters(SILENT_VOTER_MS, (2 * this.#options.losses) + 1, this.now));
+			this.#configure(voter, voter.getVotersWithoutSilent(SILENT_VOTER_MS, (2 * this.#options.losses) + 1, this.now));
 		}
 	}
 
--- a/packages/consensus/tests/fake-voter.ts
+++ b/packages/consensus/tests/fake-voter.ts
@@ -3,7 +3,7 @@
 import type {Mutation} from './mutation.js';
 import {
 	type ConsensusEffect, type ConsensusEvent, type ConsensusMessage, type ConsensusState, type LogEntry, type StoredLog, type Voter,
-	getLeaseEnd, isAskingToJoin, getReducedVoters, isPersistEffect, mutateConsensus, newConsensusState,
+	getLeaseEnd, isAskingToJoin, getVotersWithoutSilent, isPersistEffect, mutateConsensus, newConsensusState,
 } from '@valelead/consensus';
 
 type VoterEvents = {
@@ -129,8 +129,8 @@
 		return this.isUp && !this.isFrozen && hasOwnCommit && this.#toLocalTime(now) < getLeaseEnd(this.state, QUORUM_SETTINGS, this.#toLocalTime(now));
 	}
 
-	getReducedVoters(silenceMs: number, minVoters: number, now: number): readonly Voter[] | undefined {
-		return getReducedVoters(this.state, silenceMs, this.#toLocalTime(now), minVoters);
+	getVotersWithoutSilent(silenceMs: number, minVoters: number, now: number): readonly Voter[] | undefined {
+		return getVotersWithoutSilent(this.state, silenceMs, this.#toLocalTime(now), minVoters);
 	}
 
 	#toLocalTime(now: number): number {
--- a/packages/consensus/tests/hand-over.steps.ts
+++ b/packages/consensus/tests/hand-over.steps.ts
@@ -105,7 +105,7 @@
 	this.unreachable = unreachable.split(' ');
 	await advance(this.time, ms);
 	assert.ok(this.node.isLeader);
-	this.node.transfer();
+	this.node.transferLeadership();
 	await advance(this.time, STEP_MS);
 	await this.node.stop();
 });
--- a/packages/consensus/tests/membership.steps.ts
+++ b/packages/consensus/tests/membership.steps.ts
@@ -5,7 +5,7 @@
 import {getToleratedSets} from './get-tolerated-sets.js';
 import {QUORUM_SETTINGS} from './quorum-settings.js';
 import {
-	type ConsensusState, type Voter, getBorneLosses, getLeastVoters, getNextMembership, getReducedVoters, isGrowing, mutateConsensus,
+	type ConsensusState, type Voter, getToleratedLosses, getMinVoters, getNextMembership, getVotersWithoutSilent, isExpectingVoters, mutateConsensus,
 } from '@valelead/consensus';
 
 type MembershipWorld = {
@@ -46,7 +46,7 @@
 
 const checkReturn = (seed: number, size: number): void => {
 	const random = newRandom(seed);
-	const quorum = new FakeQuorum(seed, 'none', {size, losses: getBorneLosses(size)});
+	const quorum = new FakeQuorum(seed, 'none', {size, losses: getToleratedLosses(size)});
 	quorum.advance(FORM_MS);
 	proposeSome(quorum, Math.floor(random() * MAX_ENTRIES));
 	const position = (quorum.leaderIndex + 1 + Math.floor(random() * (size - 1))) % size;
@@ -76,7 +76,7 @@
 });
 
 Given('a leader that has led {int} voters for {int} ms', function (this: MembershipWorld, count: number, ms: number) {
-	this.quorum = new FakeQuorum(1, 'none', {size: count, losses: getBorneLosses(count)});
+	this.quorum = new FakeQuorum(1, 'none', {size: count, losses: getToleratedLosses(count)});
 	this.quorum.advance(ms);
 	this.state = this.quorum.leader!.state;
 });
@@ -96,7 +96,7 @@
 		progress.ackedSentAt = id === 'learner' ? progress.ackedSentAt : now;
 	}
 
-	const kept = getReducedVoters(state, silenceMs, now, state.voters.length) ?? state.voters;
+	const kept = getVotersWithoutSilent(state, silenceMs, now, state.voters.length) ?? state.voters;
 	return state.voters.filter(voter => !kept.includes(voter)).map(({id}) => id);
 };
 
@@ -180,7 +180,7 @@
 });
 
 Given('a leader of {int} voters, the last of which joined {int} ms ago', function (this: MembershipWorld, count: number, ms: number) {
-	this.quorum = new FakeQuorum(1, 'none', {size: count, losses: getBorneLosses(count)});
+	this.quorum = new FakeQuorum(1, 'none', {size: count, losses: getToleratedLosses(count)});
 	this.quorum.advance(LONG_MS);
 	this.state = this.quorum.leader!.state;
 	this.joinedAt = this.quorum.now - ms;
@@ -191,7 +191,7 @@
 });
 
 Then('an acknowledgement waits for more voters if {int} losses must be tolerated: {word}', function (this: MembershipWorld, losses: number, isWaiting: string) {
-	assert.equal(isGrowing(this.state, getLeastVoters(losses), GROWTH_MS, this.quorum.now), isWaiting === 'yes');
+	assert.equal(isExpectingVoters(this.state, getMinVoters(losses), GROWTH_MS, this.quorum.now), isWaiting === 'yes');
 });
 
 const toMember = (text: string): Voter => ({...newMember(text[0], text[1]), isLearner: text.endsWith('?')});
--- a/packages/consensus/tests/node.steps.ts
+++ b/packages/consensus/tests/node.steps.ts
@@ -2,7 +2,7 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {SYSTEM_CLOCK, SYSTEM_SUSPENSIONS, TimerService} from '@valelead/common';
 import {
-	type ConsensusSettings, type LogStorage, type StoredLog, type FormationDecision, type FoundVoter, type Voter, ConsensusNode, getFormation, getReducedVoters, mutateConsensus, newConsensusState,
+	type ConsensusSettings, type LogStorage, type StoredLog, type FormationDecision, type DiscoveredVoter, type Voter, ConsensusNode, getFormationDecision, getVotersWithoutSilent, mutateConsensus, newConsensusState,
 } from '@valelead/consensus';
 
 type NodeWorld = {
@@ -124,7 +124,7 @@
 		state.peers.get(lastId)!.ackedSentAt = 0;
 	}
 
-	const kept = getReducedVoters(state, SILENCE_MS, LONG_MS, (2 * losses) + 1) ?? this.voters;
+	const kept = getVotersWithoutSilent(state, SILENCE_MS, LONG_MS, (2 * losses) + 1) ?? this.voters;
 	assert.equal(kept.length, count);
 	assert.equal(kept.some(voter => voter.id === lastId), count === this.voters.length);
 });
@@ -158,7 +158,7 @@
 	counted: string,
 ) {
 	const formation = split(counted).map(id => newVoter(id));
-	const peers: FoundVoter[] = [
+	const peers: DiscoveredVoter[] = [
 		...split(standbys).map(id => ({
 			voter: newVoter(id), canVote: false, isFormed: false, proposal: [], formation: [],
 		})),
@@ -169,7 +169,7 @@
 			voter: newVoter(id), canVote: true, isFormed: true, proposal: [], formation,
 		})),
 	];
-	this.decision = getFormation(this.self, this.named, peers);
+	this.decision = getFormationDecision(this.self, this.named, peers);
 });
 
 Then(/^its decision is to (wait|join|form .+)$/, function (this: NodeWorld, text: string) {
