--- a/apps/valelead-daemon/src/admin-server.ts
+++ b/apps/valelead-daemon/src/admin-server.ts
@@ -6,7 +6,7 @@
 	readonly host: string;
 	readonly port: number;
 	readonly metrics: Metrics;
-	/** Why the process takes no new work, or undefined if it does. */
+	/** Returns the reason why the process accepts no new work, or undefined if it accepts work. */
 	readonly getUnreadyReason: () => string | undefined;
 	readonly refreshMetrics: () => void;
 };
@@ -20,7 +20,7 @@
 	answer(response, 200, await metrics.registry.metrics());
 };
 
-/** Serves the platform: health, readiness and metrics, apart from the callers' port. */
+/** Serves health, readiness and metrics to the platform, on a port separate from the one that callers use. */
 export const startAdminServer = async (parts: AdminParts): Promise<Server> => {
 	const server = createServer((request, response) => {
 		if (request.url === '/metrics') {
--- a/apps/valelead-daemon/src/agent/agent.ts
+++ b/apps/valelead-daemon/src/agent/agent.ts
@@ -21,16 +21,16 @@
 
 type AgentListener = {
 	readonly onCredits: (entry: string, creditIds: readonly string[]) => void;
-	/** The leader should hear of a change at once. */
+	/** Called when a change should be reported to the leader immediately. */
 	readonly onReport: () => void;
 };
 
-/** What was decided on a dispatch. */
+/** The decision to accept or refuse a dispatch. */
 type DispatchDecision = Extract<AgentEffect, {kind: 'accept' | 'refuse'}>;
 
 const TICK_MS = 100;
 
-/** Runs the decisions of one agent: feeds them with events and carries out their orders. */
+/** Runs the state machine of the agent of one upstream. Passes events to it and applies the resulting effects, such as loads and unloads. */
 export class Agent {
 	readonly #parts: AgentParts;
 	readonly #settings: AgentSettings;
@@ -71,7 +71,7 @@
 		void this.#askStatus();
 	}
 
-	/** Feeds one event and carries out what it calls for. Returns the decision on a dispatch. */
+	/** Handles one event and applies its effects. Returns the decision if the event is a dispatch. */
 	take(event: AgentEvent): DispatchDecision | undefined {
 		let decision: DispatchDecision | undefined;
 		for (const effect of mutateAgent(this.#state, this.#settings, event, SYSTEM_CLOCK.now())) {
@@ -185,7 +185,7 @@
 				this.#listener?.onReport();
 			}
 		} catch (error) {
-			this.#parts.logger.debug({event: 'upstream-silent', reason: (error as Error).message}, 'upstream gave no status');
+			this.#parts.logger.debug({event: 'upstream-silent', reason: (error as Error).message}, 'upstream status request failed');
 		} finally {
 			this.#isAsking = false;
 		}
--- a/apps/valelead-daemon/src/agent/frame-writer.ts
+++ b/apps/valelead-daemon/src/agent/frame-writer.ts
@@ -3,7 +3,7 @@
 import {type Frame, FrameSchema} from '@valelead/protocol';
 import type {LaneWriter} from './lane-writer.js';
 
-/** Numbers the frames of one attempt. */
+/** Writes the response of one attempt to a lane as numbered frames. */
 export class FrameWriter {
 	readonly #lane: LaneWriter;
 	readonly #attemptId: string;
--- a/apps/valelead-daemon/src/agent/hold-guard-port.ts
+++ b/apps/valelead-daemon/src/agent/hold-guard-port.ts
@@ -2,7 +2,7 @@
 import {type Server, createServer} from 'node:net';
 import {RESULT_CODE, ValeleadError} from '@valelead/common';
 
-/** Holds a port of the VM. The kernel frees it when the process ends, however it ends. */
+/** Binds a local port as a lock, so that only one agent runs on a VM. The kernel releases the port when the process ends for any reason. */
 export const holdGuardPort = async (port: number): Promise<Server> => {
 	const server = createServer(socket => {
 		socket.destroy();
--- a/apps/valelead-daemon/src/agent/lane-writer.ts
+++ b/apps/valelead-daemon/src/agent/lane-writer.ts
@@ -3,7 +3,7 @@
 import {type Frame, type LaneUpdate, LaneUpdateSchema} from '@valelead/protocol';
 import type {ServerDuplexStream} from '@grpc/grpc-js';
 
-/** Writes to one entry. What comes up in one turn of the event loop goes out as one message. */
+/** Writes frames and credits to the lane of one entry. Everything added in one event-loop iteration is sent as one message. */
 export class LaneWriter {
 	readonly #lane: ServerDuplexStream<unknown, LaneUpdate>;
 	#frames: Frame[] = [];
@@ -16,7 +16,7 @@
 		this.#lane = lane;
 	}
 
-	/** Resolves when the entry can take more, or is gone. */
+	/** Adds a frame. Resolves when the stream accepts more data or was cancelled. */
 	async addFrame(frame: Frame): Promise<void> {
 		this.#frames.push(frame);
 		this.#flushSoon();
--- a/apps/valelead-daemon/src/agent/new-agent-service.ts
+++ b/apps/valelead-daemon/src/agent/new-agent-service.ts
@@ -16,20 +16,20 @@
 
 type LaneStream = ServerDuplexStream<LaneRequest, LaneUpdate>;
 
-/** The stream of one entry. */
+/** The stream between one entry and this agent. */
 type Lane = {
 	readonly stream: LaneStream;
 	readonly writer: LaneWriter;
 };
 
-/** An attempt that the upstream works on. */
+/** An attempt that the upstream is processing. */
 type RunningAttempt = {
 	readonly lane: Lane;
 	readonly controller: AbortController;
 	readonly isRepeatable: boolean;
 };
 
-/** Serves entries: lanes with credits and dispatches, and questions about lost answers. */
+/** Serves the lanes of entries, on which this agent grants credits and receives dispatches, and queries for the outcome of lost attempts. */
 class AgentService {
 	readonly #agent: Agent;
 	readonly #upstream: Upstream;
@@ -89,7 +89,7 @@
 		}
 	}
 
-	/** Calls that may not be repeated go on to their end, so that the upstream is not left in between. */
+	/** Closes a lane and aborts its attempts. Attempts of requests that may not be repeated continue, so that the upstream completes them. */
 	#endLane(entry: string, lane: Lane): void {
 		if (entry !== '' && this.#lanes.get(entry) === lane) {
 			this.#lanes.delete(entry);
@@ -140,7 +140,7 @@
 	}
 }
 
-/** The agent service as grpc-js takes it. */
+/** Starts the agent and creates the gRPC implementation of its service. */
 export const newAgentService = (agent: Agent, upstream: Upstream, onReport: () => void): UntypedServiceImplementation => {
 	const service = new AgentService(agent, upstream);
 	agent.start({
--- a/apps/valelead-daemon/src/agent/start-agent.ts
+++ b/apps/valelead-daemon/src/agent/start-agent.ts
@@ -17,9 +17,10 @@
 import {holdGuardPort} from './hold-guard-port.js';
 import {newAgentService} from './new-agent-service.js';
 
+/** The polling interval while waiting for the first status of the upstream and for requests in progress, in milliseconds. */
 const STATUS_WAIT_MS = 50;
 
-/** Starts the agent of one upstream VM. */
+/** Starts the agent of one upstream VM. The agent contacts the leader after the first status of the upstream. */
 export const startAgent = async (settings: AgentDaemonSettings, logger: Logger): Promise<Stoppable> => {
 	const guard = await holdGuardPort(settings.guardPort);
 	const timers = new TimerService(SYSTEM_CLOCK);
--- a/apps/valelead-daemon/src/break-off.ts
+++ b/apps/valelead-daemon/src/break-off.ts
@@ -1,11 +1,12 @@
 import type {ServerResponse} from 'node:http';
 
-/** The first version of HTTP in which answers have chunks. */
+/** The first version of HTTP with chunked transfer encoding. */
 const HTTP_WITH_CHUNKS = '1.1';
 
 /**
- * Ends an answer that is not whole, so that its caller can tell. Where the last chunk or a part of the length is missing, the end of
- * the connection does; to callers without chunks an orderly end means that the answer is whole, and only a reset tells.
+ * Aborts an incomplete response so that the caller detects the truncation. With chunked encoding or a content length, closing the connection
+ * is enough, as the last chunk or some of the bytes are missing. An HTTP/1.0 caller takes an orderly close as the end of a complete response, so its
+ * connection is reset.
  */
 export const breakOff = (response: ServerResponse): void => {
 	if (response.req.httpVersion < HTTP_WITH_CHUNKS) {
--- a/apps/valelead-daemon/src/caller-connections.ts
+++ b/apps/valelead-daemon/src/caller-connections.ts
@@ -2,22 +2,22 @@
 import type {Socket} from 'node:net';
 
 type Connection = {
-	/** Answers that the system has not taken whole from this process. */
+	/** Number of responses that this process has not completely handed to the operating system. */
 	unfinished: number;
-	/** Bytes that had come when the last answer was finished. */
+	/** Bytes received on the connection when its last response finished. */
 	readBytes: number;
 };
 
 /**
- * The connections of callers, and which of them are idle. Node's own `closeIdleConnections` takes one for idle as soon as its answer is ended, and
- * cuts off what a caller that reads slowly has not got yet.
+ * Tracks the connections of callers and which of them are idle. Node's own `closeIdleConnections` treats a connection as idle as soon as `end` was
+ * called on its response, and truncates responses to callers that read slowly.
  */
 export class CallerConnections {
 	readonly #connections = new Map<Socket, Connection>();
 	readonly #unfinished = new Set<ServerResponse>();
 	#isEnding = false;
 
-	/** Answers that callers have not taken; what the process still holds of them is lost if it ends. */
+	/** Number of responses with data still buffered in this process. The data is lost if the process exits. */
 	get unfinishedCount(): number {
 		return [...this.#connections.values()].reduce((sum, connection) => sum + connection.unfinished, 0);
 	}
@@ -33,7 +33,7 @@
 		});
 	}
 
-	/** Takes that a request has come; its answer is `response`. */
+	/** Registers the response to a request that has arrived. */
 	note(response: ServerResponse): void {
 		const {socket} = response;
 		const connection = socket ? this.#connections.get(socket) : undefined;
@@ -54,7 +54,7 @@
 		});
 	}
 
-	/** From now on an answer that has not begun is the last one on its connection, and tells its caller so. */
+	/** Sets `connection: close` on all responses whose headers have not been sent, now and in the future. */
 	endAfterAnswers(): void {
 		this.#isEnding = true;
 		for (const response of this.#unfinished) {
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Ends the connections on which nothing is in progress, a request that has come in part included. */
+	/** Closes connections that have no unfinished response and no partially received request. */
 	closeIdle(): void {
 		for (const [socket, {unfinished, readBytes}] of this.#connections) {
 			if (unfinished === 0 && socket.bytesRead === readBytes) {
--- a/apps/valelead-daemon/src/entry/admission-defaults.ts
+++ b/apps/valelead-daemon/src/entry/admission-defaults.ts
@@ -1,6 +1,6 @@
 import type {AdmissionSettings} from '@valelead/admission';
 
-/** Limits and timing of the admission. Times in milliseconds. */
+/** The fixed limits and times of admission control in an entry. Times are in milliseconds. */
 export const ADMISSION_DEFAULTS: Omit<AdmissionSettings, 'dataCentre'> = {
 	maxAttempts: 6,
 	retryShare: 0.1,
--- a/apps/valelead-daemon/src/entry/answer-sink.ts
+++ b/apps/valelead-daemon/src/entry/answer-sink.ts
@@ -1,9 +1,9 @@
 import type {Buffer} from 'node:buffer';
 import type {Refusal} from './refusal.js';
 
-/** Where an answer goes, part by part. */
+/** Receives an upstream's response chunk by chunk and passes it to the caller. */
 export type AnswerSink = {
-	/** Whether parts reach the caller before the answer is whole. */
+	/** True if chunks are sent to the caller before the response is complete. */
 	readonly isStream: boolean;
 	readonly start: (status: number, contentType: string) => void;
 	readonly data: (chunk: Buffer) => void;
--- a/apps/valelead-daemon/src/entry/attempt.ts
+++ b/apps/valelead-daemon/src/entry/attempt.ts
@@ -6,14 +6,14 @@
 import type {AnswerSink} from './answer-sink.js';
 
 type AttemptEvents = {
-	/** The first part of the answer came. Returns false to reject the answer. */
+	/** Called when the status of the response has arrived. Returns false to reject the response. */
 	readonly onStart: (status: number) => boolean;
 	readonly onData: () => void;
 	readonly onEnd: () => void;
 	readonly onFailure: (code: ResultCodeValue, outcome: OutcomeValue) => void;
-	/** The agent should stop working on the attempt. */
+	/** Called when the agent should stop working on the attempt. */
 	readonly onCancel: () => void;
-	/** The answer was lost before anything of it came; what became of the request must be asked. */
+	/** Called when the lane closed before any frame arrived. Asks the agent whether the request was run. */
 	readonly askOutcome: () => Promise<OutcomeValue>;
 };
 
@@ -28,8 +28,8 @@
 const HTTP_SERVER_ERROR = 500;
 
 /**
- * One dispatch to an agent. Frames are taken in order and only for this attempt; an answer counts as whole
- * when its last frame's counts agree with what came.
+ * One attempt to serve a request through an agent. Frames must arrive in order and belong to this attempt. A response is complete
+ * if the frame and byte counts in its last frame match the received frames.
  */
 export class Attempt {
 	readonly #parts: AttemptParts;
@@ -45,7 +45,7 @@
 		return this.#parts.vm;
 	}
 
-	/** Drops the attempt; nothing of it is passed on any more. */
+	/** Cancels the attempt. Later frames are ignored. */
 	cancel(): void {
 		if (!this.#isEnded) {
 			this.#isEnded = true;
@@ -67,7 +67,7 @@
 		this.#takePart(frame.part);
 	}
 
-	/** The lane broke off. If nothing came, the agent may still say that the request did not run. */
+	/** Ends the attempt after its lane has closed. If no frame had arrived, the agent is asked, as it may confirm that the request did not run. */
 	async lose(): Promise<void> {
 		if (this.#isEnded) {
 			return;
--- a/apps/valelead-daemon/src/entry/caller-server.ts
+++ b/apps/valelead-daemon/src/entry/caller-server.ts
@@ -13,12 +13,13 @@
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 60_000;
 
-/** Connections beyond the limit that are answered with a refusal before the rest is dropped. */
+/** Number of connections beyond the limit whose requests are refused with an error response. Connections beyond those are dropped. */
 const SPARE_CONNECTIONS = 64;
 
+/** The Retry-After time of requests on connections beyond the limit, in milliseconds. */
 const RETRY_MS = 1000;
 
-/** The port that callers and the platform's balancer reach. */
+/** The HTTP server for callers and for the readiness checks of the platform's load balancer. */
 export class CallerServer {
 	readonly #handler: HttpHandler;
 	readonly #settings: EntrySettings;
@@ -43,7 +44,7 @@
 		});
 	}
 
-	/** Answers that callers have not taken whole. */
+	/** Number of responses with data still buffered in this process. */
 	get unfinishedCount(): number {
 		return this.#connections.unfinishedCount;
 	}
@@ -53,18 +54,18 @@
 		await once(this.#server, 'listening');
 	}
 
-	/** From now on an answer that has not begun is the last one on its connection. */
+	/** Sets `connection: close` on all responses whose headers have not been sent, now and in the future. */
 	endAfterAnswers(): void {
 		this.#connections.endAfterAnswers();
 	}
 
-	/** Takes no new connections; those that are idle end, the others after their answer. */
+	/** Stops accepting connections and closes idle ones. Busy connections close after their response. */
 	close(): void {
 		stopListening(this.#server);
 		this.#connections.closeIdle();
 	}
 
-	/** Ends the connections that have become idle. */
+	/** Closes connections that have become idle. */
 	closeIdle(): void {
 		this.#connections.closeIdle();
 	}
--- a/apps/valelead-daemon/src/entry/claim-client.ts
+++ b/apps/valelead-daemon/src/entry/claim-client.ts
@@ -7,12 +7,12 @@
 import type {RoutedRequest} from './routed-request.js';
 import type {WholeAnswer} from './whole-answer.js';
 
-/** The largest answer that is kept for resends; of a larger one only the outcome is kept. */
+/** The largest response body that is stored for repeated requests. For a larger response only the outcome is stored. */
 const MAX_KEPT_BYTES = 65_536;
 
 const SETTLE_TIMEOUT_MS = 30_000;
 
-/** Claims requests that must not run twice, and settles how they ended, in the quorum. */
+/** Claims requests that must not run twice, and records their outcomes, in the replicated state of the quorum. */
 export class ClaimClient {
 	readonly #leader: LeaderCalls;
 
@@ -20,7 +20,7 @@
 		this.#leader = leader;
 	}
 
-	/** Asks for the right to run a request. Rejects if the quorum cannot be reached in time. */
+	/** Claims the right to run a request. Rejects if the quorum does not commit the claim within `timeoutMs`. */
 	async start(request: RoutedRequest, owner: string, lifetimeMs: number, timeoutMs: number): Promise<ClaimReply> {
 		const requestHash = createHash('sha256')
 			.update(`${request.method} ${request.service} ${request.path}\n`)
@@ -39,7 +39,7 @@
 		return reply;
 	}
 
-	/** Keeps an answer for resends. */
+	/** Records that the request ran, and stores its response for repeated requests with the same idempotency key. */
 	async settle(request: RoutedRequest, owner: string, answer: WholeAnswer): Promise<void> {
 		const hasBody = answer.body.length <= MAX_KEPT_BYTES;
 		await this.#settle(request, owner, {
@@ -51,14 +51,14 @@
 		});
 	}
 
-	/** Gives the claim back, as the request did not run. */
+	/** Releases the claim of a request that did not run. */
 	async release(request: RoutedRequest, owner: string): Promise<void> {
 		await this.#settle(request, owner, {
 			outcome: OUTCOME.NotRun, status: 0, contentType: '', body: new Uint8Array(), hasBody: false,
 		});
 	}
 
-	/** Notes that it is not known whether the request ran. */
+	/** Records that it is unknown whether the request ran. */
 	async doubt(request: RoutedRequest, owner: string): Promise<void> {
 		await this.#settle(request, owner, {
 			outcome: OUTCOME.Unknown, status: 0, contentType: '', body: new Uint8Array(), hasBody: false,
--- a/apps/valelead-daemon/src/entry/dispatcher.ts
+++ b/apps/valelead-daemon/src/entry/dispatcher.ts
@@ -23,7 +23,7 @@
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly getIntent: () => Intent;
-	/** Requests began to wait for a target that has no replica. */
+	/** Called when a request has arrived for a target without a ready replica. */
 	readonly onColdDemand: () => void;
 	readonly onEnd: (exchange: Exchange, code: ResultCodeValue) => void;
 };
@@ -33,7 +33,7 @@
 const TICK_MS = 25;
 const HTTP_SERVER_ERROR = 500;
 
-/** Runs an entry's admission: feeds it with events and carries out dispatches and refusals. */
+/** Runs the admission control of an entry. Passes events to it and applies the resulting dispatches, refusals and cancellations. */
 export class Dispatcher {
 	readonly #parts: DispatcherParts;
 	readonly #state: AdmissionState = newAdmissionState();
@@ -77,7 +77,7 @@
 		return (this.#state.endpoints.get(target)?.length ?? 0) > 0;
 	}
 
-	/** Demand since the last call, for the leader. */
+	/** Returns the demand since the last call and resets it. The demand is reported to the leader. */
 	takeDemands(): TargetDemand[] {
 		return mutateTargetDemands(this.#state, this.#parts.clock.now());
 	}
@@ -112,7 +112,10 @@
 		}
 	}
 
-	/** The caller is gone. A request that may not run twice is finished all the same, so that a resend finds its answer. */
+	/**
+	 * Cancels the request of a caller that has disconnected. A request that may not run twice is completed nevertheless, so that a repeated request
+	 * gets its response.
+	 */
 	abandon(requestId: string): void {
 		const exchange = this.#exchanges.get(requestId);
 		if (!exchange?.request.isRepeatable) {
@@ -129,14 +132,14 @@
 	}
 
 	/**
-	 * From now on sends only what ends before this process does, by its own deadline.
-	 * @param endsAt - When what is in progress is broken off, in monotonic milliseconds.
+	 * Stops gracefully. Only requests whose deadline is before the end of this process are dispatched from now on.
+	 * @param endsAt - When the requests in progress are aborted, in monotonic milliseconds.
 	 */
 	stop(endsAt: number): void {
 		this.#take({kind: 'stop', endsAt});
 	}
 
-	/** Ends what is still in progress with an honest answer. */
+	/** Aborts all requests. Dispatched requests are refused with an unknown outcome. */
 	cutAll(code: ResultCodeValue): void {
 		this.refuseWaiting(code);
 		for (const exchange of this.#exchanges.values()) {
@@ -269,7 +272,9 @@
 		}
 	}
 
-	/** An upstream's own failure of a request that may run again is not passed on but tried elsewhere. */
+	/**
+	 * Returns false for a server error of a repeatable request, so that the request is retried at another upstream instead of passing on the error.
+	 */
 	#start(exchange: Exchange, attemptId: string, status: number): boolean {
 		if (status >= HTTP_SERVER_ERROR && exchange.request.isRepeatable) {
 			return false;
--- a/apps/valelead-daemon/src/entry/entry.ts
+++ b/apps/valelead-daemon/src/entry/entry.ts
@@ -32,7 +32,7 @@
 const IDLE_POLL_MS = 20;
 const MS_PER_SECOND = 1000;
 
-/** An entry: follows the leader, takes callers' requests and hands them to agents. */
+/** A gateway of the role entry. Follows the configuration of the leader, receives requests of callers and dispatches them to agents. */
 export class Entry implements Stoppable {
 	readonly #parts: EntryParts;
 	readonly #follower = new IntentFollower(SYSTEM_CLOCK);
@@ -42,7 +42,7 @@
 	readonly #callers: CallerServer;
 	readonly #session: SessionClient;
 	#admin: Server | undefined;
-	/** When what is in progress is broken off, from the stop signal on. */
+	/** When requests in progress are aborted, in monotonic milliseconds. Undefined before the stop signal. */
 	#endsAt: number | undefined;
 
 	constructor(parts: EntryParts) {
@@ -71,7 +71,7 @@
 		logger.info({event: 'started', startMs: getStartMs()}, 'entry started');
 	}
 
-	/** Fails readiness, lets the balancer notice, refuses what could not end in time, and waits for the rest. */
+	/** Fails readiness, waits for the load balancer to notice, refuses requests that could not end in time and waits for the remaining ones. */
 	async stop(): Promise<void> {
 		const {settings, timers} = this.#parts;
 		this.#setEnd(SYSTEM_CLOCK.now() + settings.balancerDelayMs + settings.stopLimitMs);
@@ -172,7 +172,10 @@
 		this.#dispatcher.takeEndpoints(update.endpoints, update.entryCount);
 	}
 
-	/** Why no request is taken. An entry that stops still takes those that end before it does; its admission refuses the others. */
+	/**
+	 * Returns the result code with which all requests are refused, or undefined. A stopping entry still accepts requests that end in time; admission
+	 * refuses the others.
+	 */
 	#getClosedCode(): ResultCodeValue | undefined {
 		const isTooOld = this.#follower.ageMs > this.#parts.settings.maxConfigurationAgeMs;
 		return isTooOld ? RESULT_CODE.ConfigurationTooOld : undefined;
--- a/apps/valelead-daemon/src/entry/exchange-recorder.ts
+++ b/apps/valelead-daemon/src/entry/exchange-recorder.ts
@@ -9,7 +9,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Records the times of exchanges in the histograms of their team and class. */
+/** Records durations and results of exchanges in the metrics of their team and class. */
 export class ExchangeRecorder {
 	readonly #metrics: Metrics;
 	readonly #clock: Clock;
--- a/apps/valelead-daemon/src/entry/exchange.ts
+++ b/apps/valelead-daemon/src/entry/exchange.ts
@@ -1,13 +1,13 @@
 import type {RoutedRequest} from './routed-request.js';
 import type {AnswerSink} from './answer-sink.js';
 
-/** One request in the hands of an entry. Times are monotonic milliseconds. */
+/** A request that an entry is processing, and the sink for its response. Times are monotonic milliseconds. */
 export type Exchange = {
 	readonly requestId: string;
 	readonly request: RoutedRequest;
 	readonly sink: AnswerSink;
 	readonly arrivedAt: number;
-	/** Whether no replica was ready when it arrived. */
+	/** True if no replica of the target was ready when the request arrived. */
 	readonly wasCold: boolean;
 	dispatchedAt: number | undefined;
 	firstPartAt: number | undefined;
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -33,19 +33,20 @@
 	readonly logger: Logger;
 	readonly maxBodyBytes: number;
 	readonly streamStallMs: number;
-	/** Why no new work is taken, or undefined. */
+	/** Returns the result code with which new requests are refused, or undefined if they are accepted. */
 	readonly getClosedCode: () => ResultCodeValue | undefined;
 };
 
-/** What is added to the time of a class before a claim without an answer counts as lost, in milliseconds. */
+/** The time after the deadline of its class at which an unsettled claim is overdue, in milliseconds. */
 const CLAIM_SLACK_MS = 10_000;
 
-/** When to fetch the answer of a request that is still in progress, in milliseconds. */
+/** The Retry-After time of a repeated request whose first copy is still in progress, in milliseconds. */
 const IN_PROGRESS_RETRY_MS = 1000;
 
+/** The Retry-After time of requests whose claim the quorum did not commit, in milliseconds. */
 const NO_QUORUM_RETRY_MS = 2000;
 
-/** How long a finished answer waits for its settlement before it is given to the caller, in milliseconds. */
+/** The longest time that a complete response is held back until the quorum has stored it, in milliseconds. */
 const SETTLE_WAIT_MS = 1000;
 
 const toRefusal = (error: unknown): Refusal => {
@@ -56,7 +57,7 @@
 	};
 };
 
-/** Serves callers: checks who asks for what, claims what must not run twice, and hands requests to the dispatcher. */
+/** Handles HTTP requests of callers: authenticates and routes them, claims requests that must not run twice and passes requests to the dispatcher. */
 export class HttpHandler {
 	readonly #parts: HandlerParts;
 
@@ -137,7 +138,7 @@
 		});
 	}
 
-	/** Runs a request only with a claim that the quorum has committed, and keeps its answer for resends. */
+	/** Runs a request only after the quorum has committed its claim, and stores its response for repeated requests. */
 	async #serveOnce(request: RoutedRequest, response: ServerResponse, requestId: string): Promise<void> {
 		const {deadlineMs} = this.#parts.follower.intent.classes.get(request.className)!;
 		const reply = await this.#claim(request, requestId, deadlineMs);
@@ -163,7 +164,7 @@
 		}
 	}
 
-	/** A claim whose commit was not confirmed may exist; the request never ran, so it is given back. */
+	/** Releases a claim whose commit was not confirmed, because it may exist although the request never ran. */
 	async #releaseLater(request: RoutedRequest, requestId: string): Promise<void> {
 		try {
 			await this.#parts.claims.release(request, requestId);
@@ -172,7 +173,7 @@
 		}
 	}
 
-	/** Answers a resend from what the claim holds. */
+	/** Responds to a repeated request from its existing claim. */
 	#answerClaimed(reply: ClaimReply, response: ServerResponse, requestId: string): void {
 		if (reply.kind === 'mismatch') {
 			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.KeyReused].meaning, {code: RESULT_CODE.KeyReused, outcome: OUTCOME.NotRun});
@@ -209,7 +210,7 @@
 		this.#parts.logger.warn({event: 'claim-not-settled', requestId, reason: (error as Error).message}, 'claim not settled');
 	}
 
-	/** The refusal goes out at once; the claim is settled behind it. */
+	/** Sends the refusal immediately and settles the claim afterwards. */
 	async #giveBack(request: RoutedRequest, response: ServerResponse, requestId: string, refusal: Refusal): Promise<void> {
 		writeRefusal(response, refusal, requestId);
 		try {
--- a/apps/valelead-daemon/src/entry/intent-follower.ts
+++ b/apps/valelead-daemon/src/entry/intent-follower.ts
@@ -4,7 +4,7 @@
 } from '@valelead/intent';
 import type {SessionUpdate} from '@valelead/protocol';
 
-/** A replica of the configuration that follows the leader's updates and never goes back to an older revision. */
+/** Maintains a replica of the configuration from the leader's updates. It never returns to an older revision. */
 export class IntentFollower {
 	readonly #clock: Clock;
 	#intent: Intent = newIntent();
@@ -19,7 +19,7 @@
 		return this.#intent;
 	}
 
-	/** The revision to report: -1 asks for the whole state. */
+	/** The revision to report to the leader. -1 requests a snapshot of the complete configuration. */
 	get reportedRevision(): number {
 		return this.#needsSnapshot ? -1 : this.#intent.revision;
 	}
@@ -29,7 +29,7 @@
 		return this.#clock.now() - this.#confirmedAt;
 	}
 
-	/** Takes an update that a current leader sent. Returns whether the configuration changed. */
+	/** Applies an update of the current leader. Returns true if the configuration changed. */
 	take(update: SessionUpdate): boolean {
 		const before = this.#intent.revision;
 		if (update.snapshot !== '') {
@@ -63,6 +63,6 @@
 		}
 
 		mutateIntent(this.#intent, JSON.parse(command) as Proposal);
-		invariant(this.#intent.revision === revision, 'a replayed proposal makes the same revision');
+		invariant(this.#intent.revision === revision, 'replaying a proposal yields the revision at which it was committed');
 	}
 }
--- a/apps/valelead-daemon/src/entry/key-index.ts
+++ b/apps/valelead-daemon/src/entry/key-index.ts
@@ -1,7 +1,7 @@
 import {type KeyTable, getKeyHolder, newKeyTable} from '@valelead/access';
 import type {Intent, Team} from '@valelead/intent';
 
-/** Finds the team of a bearer key. Only digests are held. */
+/** Finds the team that a bearer key belongs to. Stores only hashes of the keys. */
 export class KeyIndex {
 	#table: KeyTable = new Map();
 
--- a/apps/valelead-daemon/src/entry/lanes.ts
+++ b/apps/valelead-daemon/src/entry/lanes.ts
@@ -13,9 +13,10 @@
 
 type LaneStream = ClientDuplexStream<LaneRequest, LaneUpdate>;
 
-/** A lane that nobody wants is closed after this time, in milliseconds. */
+/** A lane without waiting requests and attempts is closed after this time, in milliseconds. */
 const IDLE_LANE_MS = 15_000;
 
+/** The interval between checks for idle lanes, in milliseconds. */
 const REFRESH_MS = 500;
 
 const OUTCOME_TIMEOUT_MS = 500;
@@ -25,11 +26,11 @@
 	readonly stream: LaneStream;
 	wanted: number;
 	usedAt: number;
-	/** Attempts that were sent on this lane and have not ended. */
+	/** The ids of attempts that were sent on this lane and have not ended. */
 	readonly attempts: Set<string>;
 };
 
-/** Streams to the agents that this entry has work for, on which they grant credits. */
+/** Manages the lanes of this entry: bidirectional streams to agents, which grant credits and send response frames on them. */
 export class Lanes {
 	readonly #entry: string;
 	readonly #pool: ChannelPool;
@@ -46,7 +47,7 @@
 		});
 	}
 
-	/** Notes where an agent is reached. */
+	/** Sets the address of an agent. A lane to another address is closed. */
 	setAddress(vm: string, address: string): void {
 		this.#addresses.set(vm, address);
 		const lane = this.#open.get(vm);
@@ -55,7 +56,7 @@
 		}
 	}
 
-	/** Sends a dispatch. Returns false if there is no lane to send it on. */
+	/** Sends a dispatch to an agent. Returns false if no lane to the agent is open. */
 	dispatch(vm: string, request: DispatchRequest): boolean {
 		const lane = this.#open.get(vm);
 		if (!lane) {
@@ -67,7 +68,7 @@
 		return true;
 	}
 
-	/** Tells the agent that an answer is no longer wanted. */
+	/** Asks the agent to cancel an attempt. */
 	cancel(vm: string, attemptId: string): void {
 		const lane = this.#open.get(vm);
 		if (lane?.attempts.delete(attemptId)) {
@@ -76,12 +77,12 @@
 		}
 	}
 
-	/** Notes that an attempt has ended. */
+	/** Removes an attempt that has ended from its lane. */
 	end(vm: string, attemptId: string): void {
 		this.#open.get(vm)?.attempts.delete(attemptId);
 	}
 
-	/** Asks an agent what became of an attempt whose answer was lost. */
+	/** Asks an agent for the outcome of an attempt whose response was lost. Returns Unknown if the agent does not reply. */
 	async askOutcome(vm: string, attemptId: string, creditId: string): Promise<OutcomeValue> {
 		const address = this.#addresses.get(vm);
 		try {
@@ -92,7 +93,7 @@
 		}
 	}
 
-	/** Tells an agent how many requests wait for it. */
+	/** Reports to an agent how many requests are waiting for it. Opens a lane if one is needed. */
 	want(vm: string, wanted: number, now: number): void {
 		const lane = this.#open.get(vm) ?? (wanted > 0 ? this.#connect(vm, now) : undefined);
 		if (!lane) {
--- a/apps/valelead-daemon/src/entry/new-dispatch-request.ts
+++ b/apps/valelead-daemon/src/entry/new-dispatch-request.ts
@@ -5,7 +5,7 @@
 
 type Dispatch = Extract<AdmissionEffect, {kind: 'dispatch'}>;
 
-/** The message that sends a request to an agent. The priority is the weight of its class. */
+/** Creates the message that dispatches a request to an agent. The priority is the weight of the request class. */
 export const newDispatchRequest = ({request, requestId}: Exchange, dispatch: Dispatch, priority: number): DispatchRequest => create(DispatchRequestSchema, {
 	requestId,
 	attemptId: dispatch.attemptId,
--- a/apps/valelead-daemon/src/entry/new-endpoint-index.ts
+++ b/apps/valelead-daemon/src/entry/new-endpoint-index.ts
@@ -1,7 +1,7 @@
 import {type AdmissionEndpoint, getServiceTarget} from '@valelead/admission';
 import type {Endpoint} from '@valelead/protocol';
 
-/** The VMs that can serve each target now. */
+/** Groups endpoints by the targets that they can currently serve. */
 export const newEndpointIndex = (endpoints: Iterable<Endpoint>): Map<string, AdmissionEndpoint[]> => {
 	const index = new Map<string, AdmissionEndpoint[]>();
 	for (const {vm, dataCentre, ready, service, isClosed} of endpoints) {
--- a/apps/valelead-daemon/src/entry/new-model-list.ts
+++ b/apps/valelead-daemon/src/entry/new-model-list.ts
@@ -2,7 +2,7 @@
 import {type Intent, hasAccess} from '@valelead/intent';
 import type {WholeAnswer} from './whole-answer.js';
 
-/** The names that a team may ask for, in the list shape of the OpenAI interface. */
+/** Creates the response to `GET /v1/models`: the models, versions and adapters that a team may use, in the list format of the OpenAI API. */
 export const newModelList = (intent: Intent, team: string): WholeAnswer => {
 	const names: string[] = [];
 	for (const model of intent.models.values()) {
--- a/apps/valelead-daemon/src/entry/new-refusal-body.ts
+++ b/apps/valelead-daemon/src/entry/new-refusal-body.ts
@@ -1,7 +1,7 @@
 import {RESULT_DETAILS} from '@valelead/common';
 import type {Refusal} from './refusal.js';
 
-/** A refusal in the error shape of the OpenAI interface. */
+/** Creates the JSON body of a refusal in the error format of the OpenAI API. */
 export const newRefusalBody = (refusal: Refusal, requestId: string): string => JSON.stringify({
 	error: {
 		message: refusal.message,
--- a/apps/valelead-daemon/src/entry/refusal.ts
+++ b/apps/valelead-daemon/src/entry/refusal.ts
@@ -1,10 +1,10 @@
 import type {OutcomeValue, ResultCodeValue} from '@valelead/common';
 
-/** The final answer of a request that gets none from an upstream. */
+/** The error response to a request that gets no complete response from an upstream. */
 export type Refusal = {
 	readonly code: ResultCodeValue;
 	readonly message: string;
 	readonly outcome: OutcomeValue;
-	/** When the caller should come back, in milliseconds; 0 where that would not help. */
+	/** The time after which the caller should retry, in milliseconds. 0 if a retry would not help. */
 	readonly retryAfterMs: number;
 };
--- a/apps/valelead-daemon/src/entry/route-request.ts
+++ b/apps/valelead-daemon/src/entry/route-request.ts
@@ -9,7 +9,7 @@
 
 type ReceivedRequest = {
 	readonly method: string;
-	/** Path and query. */
+	/** The path and query of the URL. */
 	readonly path: string;
 	readonly headers: IncomingHttpHeaders;
 	readonly body: Buffer;
@@ -51,7 +51,7 @@
 			return parsed;
 		}
 	} catch {
-		// Reported below.
+		// Invalid JSON is reported by the error below.
 	}
 
 	throw new ValeleadError('The body is not a JSON object', {code: RESULT_CODE.MalformedRequest});
@@ -126,7 +126,7 @@
 	};
 };
 
-/** Decides what a caller asks for; throws a numbered error where the team may not or cannot have it. */
+/** Resolves the model or service that a request addresses. Throws a ValeleadError if it does not exist, is stopped or is not allowed to the team. */
 export const routeRequest = (intent: Intent, team: Team, received: ReceivedRequest): RoutedRequest => {
 	if (team.isStopped) {
 		throw new ValeleadError('The team is stopped', {code: RESULT_CODE.ModelStopped});
--- a/apps/valelead-daemon/src/entry/routed-request.ts
+++ b/apps/valelead-daemon/src/entry/routed-request.ts
@@ -1,14 +1,14 @@
 import type {Buffer} from 'node:buffer';
 
-/** A caller's request after its path, key and body were checked. */
+/** A caller's request after authentication and routing. */
 export type RoutedRequest = {
 	readonly team: string;
 	readonly teamWeight: number;
 	readonly className: string;
 	readonly target: string;
-	/** Empty for a service. */
+	/** The key of the model or adapter. Empty for a request to a service. */
 	readonly unit: string;
-	/** Empty for a model. */
+	/** The name of the service. Empty for a request to a model. */
 	readonly service: string;
 	readonly method: string;
 	readonly path: string;
--- a/apps/valelead-daemon/src/entry/start-entry.ts
+++ b/apps/valelead-daemon/src/entry/start-entry.ts
@@ -7,7 +7,7 @@
 import type {Stoppable} from '../stoppable.js';
 import {Entry} from './entry.js';
 
-/** Starts an entry, with a voter where the settings say so. */
+/** Starts an entry, and a voter in the same process if the settings configure one. */
 export const startEntry = async (settings: EntrySettings, logger: Logger): Promise<Stoppable> => {
 	const timers = new TimerService(SYSTEM_CLOCK);
 	const pool = new ChannelPool(newChannelCredentials(settings.tls));
--- a/apps/valelead-daemon/src/entry/stream-sink.ts
+++ b/apps/valelead-daemon/src/entry/stream-sink.ts
@@ -8,16 +8,16 @@
 import type {AnswerSink} from './answer-sink.js';
 import type {Refusal} from './refusal.js';
 
-/** What an entry holds for one slow caller at most. */
+/** The most bytes that an entry buffers for one slow caller. */
 const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** Passes an answer on as it comes. An answer that breaks off ends in an error event, never as if it were whole. */
+/** Streams a response to the caller as it arrives. A truncated response ends with an error event, so that it cannot be taken as complete. */
 export class StreamSink implements AnswerSink {
 	readonly #response: ServerResponse;
 	readonly #requestId: string;
 	readonly #timers: TimerService;
 	readonly #stallMs: number;
-	/** Keeps an unfinished event back, as an error event may follow; undefined where the answer is no event stream. */
+	/** Holds back an incomplete event, because an error event may follow. Undefined if the response is not an event stream. */
 	#splitter: EventSplitter | undefined;
 	#stall: TimerSubscription | undefined;
 
@@ -37,7 +37,7 @@
 		this.#response.writeHead(status, {'content-type': contentType, 'x-request-id': this.#requestId, 'cache-control': 'no-cache'});
 	}
 
-	/** A caller that takes too little for too long is cut off, so that it cannot hold memory. */
+	/** Sends a chunk. Aborts the response if the caller reads too slowly, to bound the memory that is used for it. */
 	data(chunk: Buffer): void {
 		const bytes = this.#splitter ? this.#splitter.take(chunk).bytes : chunk;
 		if (this.#response.destroyed || bytes.length === 0 || this.#response.write(bytes)) {
--- a/apps/valelead-daemon/src/entry/whole-answer.ts
+++ b/apps/valelead-daemon/src/entry/whole-answer.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 
-/** An answer that was received to its end. */
+/** A response that was received completely. */
 export type WholeAnswer = {
 	readonly status: number;
 	readonly contentType: string;
--- a/apps/valelead-daemon/src/entry/whole-sink.ts
+++ b/apps/valelead-daemon/src/entry/whole-sink.ts
@@ -3,7 +3,7 @@
 import type {Refusal} from './refusal.js';
 import type {WholeAnswer} from './whole-answer.js';
 
-/** Collects an answer, so that the caller gets it whole or not at all. */
+/** Buffers a response until it is complete, so that the caller never receives a partial response. */
 export class WholeSink implements AnswerSink {
 	readonly #deliver: (answer: WholeAnswer) => void;
 	readonly #refuse: (refusal: Refusal) => void;
--- a/apps/valelead-daemon/src/entry/write-refusal.ts
+++ b/apps/valelead-daemon/src/entry/write-refusal.ts
@@ -5,7 +5,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Writes a refusal as the whole response. */
+/** Writes a refusal as the complete response, unless a response has already begun. */
 export const writeRefusal = (response: ServerResponse, refusal: Refusal, requestId: string): void => {
 	if (response.destroyed || response.headersSent) {
 		return;
--- a/apps/valelead-daemon/src/entry/write-whole-answer.ts
+++ b/apps/valelead-daemon/src/entry/write-whole-answer.ts
@@ -1,7 +1,7 @@
 import type {ServerResponse} from 'node:http';
 import type {WholeAnswer} from './whole-answer.js';
 
-/** Writes an answer with its length, so that the caller can tell that it is whole. */
+/** Writes a complete response with a content length, so that the caller can detect truncation. */
 export const writeWholeAnswer = (response: ServerResponse, answer: WholeAnswer, requestId: string): void => {
 	if (response.destroyed || response.headersSent) {
 		return;
--- a/apps/valelead-daemon/src/exit-with-logs.ts
+++ b/apps/valelead-daemon/src/exit-with-logs.ts
@@ -2,14 +2,14 @@
 import {SYSTEM_CLOCK, TimerService} from '@valelead/common';
 import type {Logger} from 'pino';
 
-/** A reader of the logs that does not take them within this time is not waited for, in milliseconds. */
+/** The longest time to wait until the reader of the log has accepted the last lines, in milliseconds. */
 const FLUSH_LIMIT_MS = 300;
 
-/** Ends the process once its last log lines are written. */
+/** Flushes the log and exits the process. If the flush takes too long, the process kills itself. */
 export const exitWithLogs = (logger: Logger, status: number): void => {
-	// The daemon's own timer service has been stopped with its parts.
+	// The daemon's own timer service has already been stopped.
 	new TimerService(SYSTEM_CLOCK).after(FLUSH_LIMIT_MS, () => {
-		// A write that the reader blocks would hold up an orderly exit for as long.
+		// `process.exit` would wait for a log write that is blocked by its reader.
 		process.kill(process.pid, 'SIGKILL');
 	});
 	logger.flush(() => {
--- a/apps/valelead-daemon/src/get-host.ts
+++ b/apps/valelead-daemon/src/get-host.ts
@@ -1,2 +1,2 @@
-/** The IP number of an address with a port. */
+/** Returns the IP address of an address with a port. */
 export const getHost = (address: string): string => address.slice(0, address.lastIndexOf(':'));
--- a/apps/valelead-daemon/src/get-port.ts
+++ b/apps/valelead-daemon/src/get-port.ts
@@ -1,2 +1,2 @@
-/** The port of an address. */
+/** Returns the port of an address. */
 export const getPort = (address: string): number => Number(address.slice(address.lastIndexOf(':') + 1));
--- a/apps/valelead-daemon/src/get-start-ms.ts
+++ b/apps/valelead-daemon/src/get-start-ms.ts
@@ -1,2 +1,2 @@
-/** How long the start of this process has taken so far, in milliseconds: with the time to load the program, and to be given a processor. */
+/** Returns the time since the process was started, in milliseconds. It includes loading the program and waiting for processor time. */
 export const getStartMs = (): number => Math.round(performance.now());
--- a/apps/valelead-daemon/src/grpc-server.ts
+++ b/apps/valelead-daemon/src/grpc-server.ts
@@ -9,7 +9,7 @@
 	readonly implementation: UntypedServiceImplementation;
 };
 
-/** Serves other processes of the installation. */
+/** Serves gRPC calls from other processes of the installation. */
 export class GrpcServer {
 	readonly #server = new Server({
 		'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
--- a/apps/valelead-daemon/src/logger.ts
+++ b/apps/valelead-daemon/src/logger.ts
@@ -5,19 +5,19 @@
 	readonly role: string;
 };
 
-/** Standard output. */
+/** The file descriptor of standard output. */
 const OUTPUT = 1;
 
-/** Lines are written together once they make this many bytes, or after the flush time. */
+/** Log lines are written in batches, when this many bytes have accumulated or when the flush interval has passed. */
 const BATCH_BYTES = 4096;
 const FLUSH_MS = 500;
 
-/** What is held for a reader that does not keep up, in bytes; further lines are dropped. */
+/** The most bytes buffered for a reader that does not keep up. Further lines are dropped. */
 const MAX_HELD_BYTES = 1_048_576;
 
 /**
- * Logs are JSON, one event a line. Prompts, answers and keys are never passed to a logger. Lines are written in the
- * background, so that a reader that stalls neither holds up the process nor fills its memory.
+ * Creates a logger that writes JSON, one event per line. Prompts, responses and keys are never passed to a logger. Lines are written
+ * asynchronously, so that a reader that stalls neither blocks the process nor fills its memory.
  */
 export const newLogger = (level: string, context: LogContext): Logger => {
 	const output = destination({
--- a/apps/valelead-daemon/src/metrics/metrics.ts
+++ b/apps/valelead-daemon/src/metrics/metrics.ts
@@ -5,12 +5,12 @@
 const SECONDS_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120];
 const TOKEN_BUCKETS = [0.001, 0.005, 0.01, 0.02, 0.04, 0.065, 0.1, 0.2, 0.5, 1, 5];
 
-/** Series of one histogram are bounded by this many teams; further teams share the label `other`. */
+/** The number of teams with their own label, which bounds the series of a histogram. Further teams share the label `other`. */
 const MAX_TEAM_LABELS = 300;
 
 type RequestLabels = 'team' | 'class';
 
-/** The metrics of a daemon. No label carries a model, a prompt or a key. */
+/** The Prometheus metrics of a daemon. No label contains a model, a prompt or a key. */
 export class Metrics {
 	readonly registry: RegistryShape = new Registry();
 	readonly queueWait: Histogram<RequestLabels>;
@@ -21,31 +21,31 @@
 	readonly results: Counter<RequestLabels | 'code'>;
 	readonly configurationAge: Gauge;
 	readonly revision: Gauge;
-	/** At the leader: for how long followers obeyed an older routing after a newer one was committed. */
+	/** Set by the leader: for how long followers applied an older routing configuration after a newer one was committed. */
 	readonly routingLag: Histogram<'role'>;
-	/** Engines that nobody gives orders to; set by the leader. */
+	/** Set by the leader: number of engines that no process manages. */
 	readonly unattendedEngines: Gauge;
-	/** Voters of the quorum, those of them that are heard, and the losses at once that they bear, as this voter knows. */
+	/** Number of voters of the quorum, of reachable voters, and of simultaneous voter failures that the quorum tolerates, as known to this voter. */
 	readonly voters: Gauge;
 	readonly heardVoters: Gauge;
 	readonly borneLosses: Gauge;
-	/** Losses at once that the settings state. */
+	/** The fault tolerance in the settings: the number of simultaneous voter failures that the quorum is to survive. */
 	readonly faultTolerance: Gauge;
-	/** Upstreams that crashed under requests of this gateway. */
+	/** Number of upstreams that crashed while they processed requests of this gateway. */
 	readonly crashedUpstreams: Counter;
-	/** Attempts that were ended before their answers were complete, by whether the answer had begun. */
+	/** Attempts that the gateway ended before their responses were complete, by whether the response had begun. */
 	readonly cancelledAttempts: Counter<'answered'>;
-	/** Requests that were broken off at the end of the grace period, by whether they had come before or after the stop signal. */
+	/** Requests that were aborted at the end of the grace period, by whether they had arrived before or after the stop signal. */
 	readonly stopCuts: Counter<'arrived'>;
-	/** Retries, by service and by whether the budget of the service allowed them: `sent` or `refused`. */
+	/** Retries, by service and by whether the retry budget of the service allowed them: `sent` or `refused`. */
 	readonly retries: Counter<'service' | 'result'>;
-	/** Upstreams that limit the requests that they take, as this gateway knows. */
+	/** Number of upstreams that announce a request rate limit, as known to this gateway. */
 	readonly limitedUpstreams: Gauge;
-	/** Requests that this gateway keeps from upstreams. */
+	/** Number of quarantined requests, which this gateway does not send to upstreams. */
 	readonly quarantinedRequests: Gauge;
-	/** Units of teams' quotas that requests have used. */
+	/** Quota units that requests have used, by team. */
 	readonly usedQuota: Counter<'team'>;
-	/** Of the leader: what teams may still use at once, and what is lent of it. */
+	/** Set by the leader: the quota units that each team may use at once, and the units of them lent to gateways. */
 	readonly quotaLevel: Gauge<'team'>;
 	readonly lentQuota: Gauge<'team'>;
 	readonly refusedControlCalls: Counter<'call' | 'code'>;
@@ -112,7 +112,7 @@
 		collectDefaultMetrics({register: this.registry});
 	}
 
-	/** The team's label, bounded in number. */
+	/** Returns the label of a team: its name, or `other` once the maximum number of labels is in use. */
 	getTeamLabel(team: string): string {
 		if (this.#teams.has(team)) {
 			return team;
--- a/apps/valelead-daemon/src/metrics/set-quorum-metrics.ts
+++ b/apps/valelead-daemon/src/metrics/set-quorum-metrics.ts
@@ -1,7 +1,7 @@
 import {type QuorumView, getBorneLosses} from '@valelead/consensus';
 import type {Metrics} from './metrics.js';
 
-/** Shows what a voter knows of its quorum, and what the settings ask of it. */
+/** Sets the metrics of a voter's view of its quorum and of the fault tolerance in the settings. */
 export const setQuorumMetrics = (metrics: Metrics, view: QuorumView | undefined, faultTolerance: number): void => {
 	const voterCount = view?.voters.length ?? 0;
 	metrics.voters.set(voterCount);
--- a/apps/valelead-daemon/src/metrics/set-quota-metrics.ts
+++ b/apps/valelead-daemon/src/metrics/set-quota-metrics.ts
@@ -1,7 +1,7 @@
 import type {QuotaRegistry} from '../control/quota-registry.js';
 import type {Metrics} from './metrics.js';
 
-/** Sets what teams may still use; a voter that does not lead shows none. */
+/** Sets the quota metrics of all teams. A voter that is not the leader has no levels, so its metrics are cleared. */
 export const setQuotaMetrics = (metrics: Metrics, levels: QuotaRegistry['levels']): void => {
 	metrics.quotaLevel.reset();
 	metrics.lentQuota.reset();
--- a/apps/valelead-daemon/src/read-body.ts
+++ b/apps/valelead-daemon/src/read-body.ts
@@ -2,7 +2,7 @@
 import type {IncomingMessage} from 'node:http';
 import {RESULT_CODE, ValeleadError} from '@valelead/common';
 
-/** Reads a whole body; throws BodyTooLarge beyond the limit. */
+/** Reads a complete message body. Throws BodyTooLarge if the body has more than `maxBytes` bytes. */
 export const readBody = async (message: IncomingMessage, maxBytes: number): Promise<Buffer> => {
 	const chunks: Buffer[] = [];
 	let length = 0;
--- a/apps/valelead-daemon/src/run-daemon.ts
+++ b/apps/valelead-daemon/src/run-daemon.ts
@@ -58,7 +58,7 @@
 	}
 };
 
-/** Resolves at the first stop signal; a second one ends the part at once. */
+/** Resolves at the first stop signal. A second signal stops the daemon immediately. */
 const waitForStop = (running: Stoppable, logger: Logger): Effect.Effect<void> => Effect.callback<void>(resume => {
 	let signals = 0;
 	const take = (): void => {
@@ -76,7 +76,7 @@
 	process.on('SIGINT', take);
 });
 
-/** What the settings file holds, or empty where it cannot be read; loading it says why. */
+/** Returns the text of the settings file, or an empty string if it cannot be read. The reason is reported when the settings are loaded. */
 const readText = (file: string): string => {
 	try {
 		return readFileSync(file, 'utf8');
@@ -85,10 +85,12 @@
 	}
 };
 
-/** A changed file is checked and logged. The part takes what it can while it runs, such as the controllers to ask; the rest takes effect at the next start. */
+/**
+ * Checks a changed settings file and applies what can change at run time, such as the controller addresses. The rest takes effect at the next start.
+ */
 const takeReload = (file: string, logger: Logger, running: Stoppable | undefined): void => {
 	const settings = tryLoadSettings(file, logger);
-	logger.info({event: 'reload', settingsFile: file, isValid: settings !== undefined}, 'settings file read again; what is not taken now takes effect at the next start');
+	logger.info({event: 'reload', settingsFile: file, isValid: settings !== undefined}, 'settings file reloaded; settings that cannot change at run time take effect at the next start');
 	if (settings) {
 		running?.reload?.(settings);
 	}
@@ -96,14 +98,14 @@
 
 type ProgramParts = {
 	readonly file: string;
-	/** What the file held when it was read. */
+	/** The text of the file when the settings were loaded. */
 	readonly text: string;
 	readonly settings: Settings;
 	readonly logger: Logger;
 	readonly adapter: Adapter | undefined;
 };
 
-/** The daemon from its start to its planned stop. */
+/** Creates the program of the daemon, from its start to its planned stop. */
 const newProgram = ({file, text, settings, logger, adapter}: ProgramParts): Effect.Effect<void, unknown> => Effect.scoped(Effect.gen(function * () {
 	const part: {running?: Stoppable} = {};
 	const reload = (): void => {
@@ -129,7 +131,7 @@
 	timers.stop();
 }));
 
-/** Runs the daemon with a settings file until it is stopped, and ends the process. */
+/** Runs the daemon with a settings file until it is stopped, then exits the process. */
 export const runDaemon = async (file: string, adapter?: Adapter): Promise<void> => {
 	const text = readText(file);
 	const settings = loadOrExit(file);
--- a/apps/valelead-daemon/src/session-client.ts
+++ b/apps/valelead-daemon/src/session-client.ts
@@ -16,51 +16,52 @@
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly heartbeatMs: number;
-	/** @param isFirst - Whether it begins a session, so that the voter knows nothing of this process. */
+	/** @param isFirst - True for the first report of a session, when the voter knows nothing about this process yet. */
 	readonly newReport: (sentAt: number, isFirst: boolean) => SessionReport;
 	readonly onUpdate: (update: SessionUpdate) => void;
 };
 
-/** The shortest time between two reports, in milliseconds. */
+/** Requested reports are collected for this time before one is sent, in milliseconds. */
 const COALESCE_MS = 3;
 
+/** The delay before connecting again after a session has ended, in milliseconds. */
 const RECONNECT_MS = 100;
 
-/** A leader that left a report unanswered is given up at the second heartbeat after it last answered. */
+/** A voter is considered silent after this many heartbeat intervals without an update, which is at the second heartbeat after its last update. */
 const SILENT_HEARTBEATS = 1.9;
 
-/** A heartbeat that comes later than this after its time shows that this process stood still, in milliseconds. */
+/** A heartbeat timer that fires later than this shows that this process was stalled, in milliseconds. */
 const STALL_MS = 200;
 
-/** A voter that says nothing on a new stream for this long is passed over, in milliseconds. */
+/** A voter that sends no update on a new stream within this time is skipped, in milliseconds. */
 const FIRST_WORD_MS = 700;
 
-/** How soon a voter that names no leader is asked again, in milliseconds. */
+/** The delay before the next report to a voter that names no leader, in milliseconds. */
 const ASK_AGAIN_MS = 150;
 
 /**
- * Voters that say that they are outside of the quorum are passed over at once, each one once in this time, in milliseconds: a heartbeat. After that the last
- * one is asked as any other, as an election may be over soon.
+ * Voters that report that they are outside the quorum are skipped immediately, each once per this period, in milliseconds, which equals a heartbeat
+ * interval. The last voter of such a round is then polled like any other voter, because an election may be over soon.
  */
 const ROUND_MS = 500;
 
-/** A voter that names no leader for this long may be cut off itself, in milliseconds: two of its election timeouts. */
+/** A voter that names no leader for this long may itself be partitioned, in milliseconds. The time equals two of its election timeouts. */
 const LEADERLESS_MS = 2000;
 
 /**
- * How long a voter that fell silent is not followed on the word of another one, in milliseconds. That one believes in a dead leader for two election
- * timeouts, 1.4 s, and the leader is given up half a second after its death at the earliest: 0.9 s are left, and a tick. Longer distrust would keep this
- * process from a leader that only stood still.
+ * For this long after a voter stopped responding, other voters that name it as the leader are ignored, in milliseconds. Another voter may name a dead
+ * leader for two election timeouts, 1.4 s, and this process abandons the leader half a second after its death at the earliest. This leaves 0.9 s
+ * plus a tick. A longer time would keep this process from a leader that was only suspended.
  */
 const DISTRUST_MS = 1000;
 
 /**
- * How long a voter that fell silent is left out when the list is gone through, in milliseconds: elections that split some times are over by then. Each dead
- * voter that is tried costs the time for a first word, and one that came back is named by others.
+ * For this long, a voter that stopped responding is skipped when the list of voters is tried in order, in milliseconds. Elections are over by then,
+ * even after some split votes. Trying a dead voter costs the timeout of a first update. Other voters name a voter that has returned as the leader.
  */
 const LEFT_OUT_MS = 5000;
 
-/** Keeps a session with the leader: reports at each heartbeat and at once when asked, and finds a new leader. */
+/** Maintains a session with the leader. Sends a report at each heartbeat and on request, and finds the new leader after a change. */
 export class SessionClient {
 	readonly #parts: SessionParts;
 	#stream: SessionStream | undefined;
@@ -68,12 +69,12 @@
 	#beatAt: number;
 	#connectedAt = 0;
 	#address = '';
-	/** When a leader last answered, in any session; when this process started, before the first. */
+	/** When a leader last sent an update in any session. Before the first update, the time when this client was created. */
 	#ledAt: number;
 	#isLed = false;
-	/** Voters that fell silent, and when each was given up: several may be lost at once. */
+	/** Voters that stopped responding, with the time when each was abandoned. Several may fail at once. */
 	readonly #silent = new Map<string, number>();
-	/** When the present round through voters outside of the quorum began, and how many were passed over in it. */
+	/** When the current round through voters outside the quorum began, and how many voters were skipped in it. */
 	#round = {since: Number.NEGATIVE_INFINITY, passed: 0};
 	readonly #reports: Coalescer;
 	readonly #questions: Coalescer;
@@ -105,13 +106,13 @@
 		this.#stream?.end();
 	}
 
-	/** Reports soon, together with what else changes until then. */
+	/** Schedules a report. Changes until it is sent share the same report. */
 	reportSoon(): void {
 		this.#reports.schedule();
 	}
 
 	#beat(now: number): void {
-		// What the voter said while this process stood still has not been read yet.
+		// Updates that arrived while this process was stalled have not been read yet.
 		const wasStalled = now - this.#beatAt > this.#parts.heartbeatMs + STALL_MS;
 		this.#beatAt = now;
 		if (this.#stream && !wasStalled && now - this.#heardAt > this.#parts.heartbeatMs * SILENT_HEARTBEATS) {
@@ -122,9 +123,9 @@
 		this.#report();
 	}
 
-	/** Leaves a voter that answers nothing, and its connection, for the next one. */
+	/** Abandons a voter that does not respond, resets its connection and connects to the next voter. */
 	#giveUp(stream: SessionStream, now: number): void {
-		this.#parts.logger.warn({event: 'leader-silent', address: this.#address, silentMs: Math.round(now - this.#heardAt)}, 'leader silent, trying another voter');
+		this.#parts.logger.warn({event: 'leader-silent', address: this.#address, silentMs: Math.round(now - this.#heardAt)}, 'leader does not respond; trying another voter');
 		this.#silent.set(this.#address, now);
 		this.#parts.leader.redirect('');
 		this.#parts.pool.reset(this.#address);
@@ -160,7 +161,7 @@
 			}
 		});
 		stream.on('error', () => {
-			// One that was left ends so too, after the next one has begun.
+			// A cancelled stream also ends with an error, after the next stream has been opened.
 			if (stream === this.#stream) {
 				leader.redirect('');
 				this.#reconnect(stream);
@@ -185,7 +186,7 @@
 		timers.after(FIRST_WORD_MS, giveUpUnheard(this.#connectedAt + FIRST_WORD_MS));
 	}
 
-	/** Goes on in the list to a voter that did not fall silent lately, if there is one. */
+	/** Advances in the list to the next voter that has not recently been silent, if there is one. */
 	#passOverSilent(): void {
 		const {leader, clock} = this.#parts;
 		if (leader.isNamed) {
@@ -237,20 +238,23 @@
 			return;
 		}
 
-		// A voter that names no leader is asked until it does.
+		// A voter that names no leader is sent reports until it names one.
 		this.#questions.schedule();
 	}
 
 	#noteLed(now: number): void {
 		if (!this.#isLed) {
 			this.#isLed = true;
-			this.#parts.logger.info({event: 'leader-followed', address: this.#address, leaderlessMs: Math.round(now - this.#ledAt)}, 'a session with the leader has begun');
+			this.#parts.logger.info({event: 'leader-followed', address: this.#address, leaderlessMs: Math.round(now - this.#ledAt)}, 'established a session with the leader');
 		}
 
 		this.#ledAt = now;
 	}
 
-	/** Whether a round through all voters is not over yet, or the next one is due. */
+	/**
+	 * Counts a voter outside the quorum in the current or a new round. Returns true if the voter is to be skipped, false if it is the last of the
+	 * round.
+	 */
 	#mayPassOver(now: number): boolean {
 		if (now - this.#round.since > ROUND_MS) {
 			this.#round = {since: now, passed: 0};
--- a/apps/valelead-daemon/src/settings/agent-daemon-settings.ts
+++ b/apps/valelead-daemon/src/settings/agent-daemon-settings.ts
@@ -1,4 +1,4 @@
 import type {Settings} from './settings.js';
 
-/** The settings of an agent's daemon. */
+/** The settings of a daemon with the role agent. */
 export type AgentDaemonSettings = Extract<Settings, {role: 'agent'}>;
--- a/apps/valelead-daemon/src/settings/check-settings.ts
+++ b/apps/valelead-daemon/src/settings/check-settings.ts
@@ -26,7 +26,7 @@
 
 const newFault = (path: string, found: string, allowed: string): SettingsFault => ({path, found, allowed});
 
-/** Conditions between values that the schema cannot state. */
+/** Returns violations of conditions between several values, which the schema cannot express. */
 const getContradictions = (settings: Settings): SettingsFault[] => {
 	if (settings.role !== 'entry' || !settings.voter) {
 		return [];
@@ -51,14 +51,14 @@
 
 const ROLES = ['entry', 'agent', 'gateway', 'sidecar', 'controller'];
 
-/** A wrong role leaves nothing else to compare with. */
+/** Checks the role first, because it selects the schema for all other settings. */
 const getRoleFault = (value: unknown): SettingsFault | undefined => {
 	const found = getFound(value, ['role']);
 	const isKnown = ROLES.some(role => JSON.stringify(role) === found);
 	return isKnown ? undefined : newFault('role', found, ROLES.map(role => JSON.stringify(role)).join(' | '));
 };
 
-/** Checks a settings file's value and names every fault. */
+/** Checks the parsed value of a settings file and returns the settings or all faults. */
 export const checkSettings = (value: unknown): Checked => {
 	const roleFault = getRoleFault(value);
 	if (roleFault) {
--- a/apps/valelead-daemon/src/settings/load-or-exit.ts
+++ b/apps/valelead-daemon/src/settings/load-or-exit.ts
@@ -3,7 +3,7 @@
 import {loadSettings} from './load-settings.js';
 import type {Settings} from './settings.js';
 
-/** Reads a settings file, or prints its faults and ends the process. */
+/** Loads a settings file. Prints the faults and exits the process if the file is invalid. */
 export const loadOrExit = (file: string): Settings => {
 	try {
 		return loadSettings(file);
--- a/apps/valelead-daemon/src/settings/load-settings.ts
+++ b/apps/valelead-daemon/src/settings/load-settings.ts
@@ -11,7 +11,7 @@
 	}
 };
 
-/** Reads and checks a settings file; throws a numbered error that names every fault. */
+/** Loads and checks a settings file. Throws an InvalidSettings error that lists every fault. */
 export const loadSettings = (file: string): Settings => {
 	const {settings, faults} = checkSettings(parse(file));
 	if (!settings) {
--- a/apps/valelead-daemon/src/settings/settings-fault.ts
+++ b/apps/valelead-daemon/src/settings/settings-fault.ts
@@ -1,6 +1,6 @@
-/** One fault of a settings file. */
+/** One invalid value of a settings file. */
 export type SettingsFault = {
-	/** Names and positions from the top, joined by dots. */
+	/** Property names and array indexes from the root, joined by dots. */
 	readonly path: string;
 	readonly found: string;
 	readonly allowed: string;
--- a/apps/valelead-daemon/src/settings/settings-file-watch.ts
+++ b/apps/valelead-daemon/src/settings/settings-file-watch.ts
@@ -4,17 +4,19 @@
 
 type WatchParts = {
 	readonly file: string;
-	/** What the file held when the settings in use were read. */
+	/** The text of the file when the current settings were loaded. */
 	readonly text: string;
 	readonly timers: TimerService;
 	readonly logger: Logger;
 	readonly onChange: () => void;
 };
 
-/** How often the file is looked at, in milliseconds: processes that start with the changed settings need some seconds before they ask this one. */
+/**
+ * The interval between reads of the file, in milliseconds. Processes that start with changed settings take some seconds before they contact this one.
+ */
 const CHECK_MS = 1000;
 
-/** Notices that the settings file holds something else than before, as whoever changes it may send no signal. */
+/** Detects changes of the settings file by polling, because an operator or tool may change the file without sending a signal. */
 export class SettingsFileWatch {
 	readonly #parts: WatchParts;
 	#text: string;
@@ -44,7 +46,7 @@
 		}
 	}
 
-	/** A file that is being replaced may be missing or empty for a moment; the next look tells. */
+	/** Returns the text of the file, or undefined if it is missing or empty, as it may be while it is replaced. The next check reads it again. */
 	#read(): string | undefined {
 		const {file, logger} = this.#parts;
 		try {
@@ -53,7 +55,7 @@
 			return text === '' ? undefined : text;
 		} catch (error) {
 			if (this.#isReadable) {
-				logger.warn({event: 'settings-unreadable', settingsFile: file, reason: (error as Error).message}, 'the settings file cannot be read; the settings in use stay');
+				logger.warn({event: 'settings-unreadable', settingsFile: file, reason: (error as Error).message}, 'settings file cannot be read; keeping the current settings');
 			}
 
 			this.#isReadable = false;
--- a/apps/valelead-daemon/src/settings/settings-schema.ts
+++ b/apps/valelead-daemon/src/settings/settings-schema.ts
@@ -19,7 +19,7 @@
 	.annotate({description})
 	.pipe(Schema.withDecodingDefaultKey(Effect.succeed(value)));
 
-/** More voters than such a tolerance needs would be slower to agree than any installation asks for. */
+/** The highest fault tolerance. A quorum with more voters than it requires would commit too slowly for any installation. */
 const MAX_LOSSES = 8;
 
 const FAULT_TOLERANCE = Schema.Int
@@ -154,5 +154,5 @@
 	orderGapMs: getMilliseconds(3000, 'Between the last order of one process to an engine without a sidecar and the first of the next one.'),
 });
 
-/** The settings file of a daemon; its role says which part of the installation it is. */
+/** The schema of the settings file of a daemon. The property `role` selects the settings that apply. */
 export const SETTINGS_SCHEMA = Schema.Union([ENTRY, AGENT, GATEWAY, SIDECAR, CONTROLLER]);
--- a/apps/valelead-daemon/src/settings/try-load-settings.ts
+++ b/apps/valelead-daemon/src/settings/try-load-settings.ts
@@ -2,12 +2,12 @@
 import {loadSettings} from './load-settings.js';
 import type {Settings} from './settings.js';
 
-/** Reads a settings file; logs its faults and returns undefined where it has any. */
+/** Loads a settings file. Logs the faults and returns undefined if the file is invalid. */
 export const tryLoadSettings = (file: string, logger: Logger): Settings | undefined => {
 	try {
 		return loadSettings(file);
 	} catch (error) {
-		logger.warn({event: 'settings-invalid', settingsFile: file, reason: (error as Error).message}, 'the settings file has faults; the running settings stay');
+		logger.warn({event: 'settings-invalid', settingsFile: file, reason: (error as Error).message}, 'settings file is invalid; keeping the current settings');
 		return undefined;
 	}
 };
--- a/apps/valelead-daemon/src/stall-watch.ts
+++ b/apps/valelead-daemon/src/stall-watch.ts
@@ -1,22 +1,25 @@
 import type {Clock, TimerService} from '@valelead/common';
 
-/** Between two looks, in milliseconds. */
+/** The interval between two checks of the clock, in milliseconds. */
 const LOOK_MS = 50;
 
-/** A gap between looks that counts as a stall, in milliseconds; an upstream that crashed takes longer to listen again. */
+/** A gap between two checks that counts as a stall, in milliseconds. A crashed upstream takes longer than this to listen again. */
 const STALL_MS = 200;
 
-/** Between two looks the process reads all that lies in its sockets; a broken connection may show a turn after the last of its data. */
+/**
+ * Between two checks the process reads everything that is buffered in its sockets. A broken connection may become visible one event-loop iteration
+ * after its last data.
+ */
 const LOOKS_TO_CATCH_UP = 3;
 
-/** Notices that the process stood still, or got no processor time, so that what it takes now may have happened a while ago. */
+/** Detects that the process was suspended or got no processor time, so that the input it reads afterwards may be stale. */
 export class StallWatch {
 	readonly #clock: Clock;
 	readonly #onStall: (stalledMs: number) => void;
 	#lookedAt: number;
 	#looksSinceStall = LOOKS_TO_CATCH_UP;
 
-	/** @param onStall - Hears for how long the process stood still, once it goes on. */
+	/** @param onStall - Called when the process continues after a stall, with the length of the stall in milliseconds. */
 	constructor(clock: Clock, timers: TimerService, onStall: (stalledMs: number) => void = () => undefined) {
 		this.#clock = clock;
 		this.#onStall = onStall;
@@ -26,7 +29,7 @@
 		});
 	}
 
-	/** Whether what comes now may have waited for this process. */
+	/** True if input that the process reads now may have been waiting in its sockets since a stall. */
 	get isStalled(): boolean {
 		return this.#looksSinceStall < LOOKS_TO_CATCH_UP || this.#hasGap;
 	}
--- a/apps/valelead-daemon/src/stop-listening.ts
+++ b/apps/valelead-daemon/src/stop-listening.ts
@@ -2,8 +2,8 @@
 import {Server as NetServer} from 'node:net';
 
 /**
- * Takes no new connections and leaves those that are open alone. The HTTP server's own `close` ends some of them, by a notion of idle that cuts off
- * answers which callers are still reading.
+ * Stops accepting connections and leaves open connections alone. The HTTP server's own `close` also closes connections that it considers idle, and
+ * thereby truncates responses that callers are still reading.
  */
 export const stopListening = (server: Server): void => {
 	NetServer.prototype.close.call(server);
--- a/apps/valelead-daemon/src/stoppable.ts
+++ b/apps/valelead-daemon/src/stoppable.ts
@@ -1,11 +1,11 @@
 import type {Settings} from './settings/settings.js';
 
-/** A running part of a daemon. */
+/** A running daemon, or a part of one, that can be stopped. */
 export type Stoppable = {
-	/** Ends the part without cutting off what is in progress, as far as the stop limit allows. */
+	/** Stops gracefully. Requests in progress may finish until the stop limit is reached. */
 	readonly stop: () => Promise<void>;
-	/** Ends at once; what is in progress gets an honest answer. */
+	/** Stops immediately. Requests in progress get an error response that states their outcome as far as it is known. */
 	readonly stopNow: () => void;
-	/** Takes from changed settings what takes effect without a new start. */
+	/** Applies those of the changed settings that take effect without a restart. */
 	readonly reload?: (settings: Settings) => void;
 };
--- a/apps/valelead-daemon/src/tls/new-channel-credentials.ts
+++ b/apps/valelead-daemon/src/tls/new-channel-credentials.ts
@@ -4,7 +4,7 @@
 
 type Tls = Settings['tls'];
 
-/** How this process proves itself to others; without TLS settings, not at all. */
+/** Creates the credentials for outgoing gRPC connections: mutual TLS, or unencrypted and unauthenticated connections without TLS settings. */
 export const newChannelCredentials = (tls: Tls): ChannelCredentials => {
 	if (!tls) {
 		return ChannelCredentials.createInsecure();
--- a/apps/valelead-daemon/src/tls/new-server-credentials.ts
+++ b/apps/valelead-daemon/src/tls/new-server-credentials.ts
@@ -2,7 +2,10 @@
 import {ServerCredentials} from '@grpc/grpc-js';
 import type {Settings} from '../settings/settings.js';
 
-/** What this process asks of those who connect; with TLS settings, a certificate of the same authority. */
+/**
+ * Creates the credentials of a gRPC server. With TLS settings, clients must present a certificate of the configured authority. Without them, the
+ * server accepts unencrypted and unauthenticated connections.
+ */
 export const newServerCredentials = (tls: Settings['tls']): ServerCredentials => {
 	if (!tls) {
 		return ServerCredentials.createInsecure();
--- a/apps/valelead-daemon/src/with-timeout.ts
+++ b/apps/valelead-daemon/src/with-timeout.ts
@@ -1,6 +1,6 @@
 import type {TimerService} from '@valelead/common';
 
-/** The result of a promise, or the error if it takes longer. The promise itself goes on. */
+/** Waits for a promise and rejects with `error` if it takes longer than `timeoutMs`. The promise itself is not cancelled. */
 export const withTimeout = async <Value>(promise: Promise<Value>, timers: TimerService, timeoutMs: number, error: Error): Promise<Value> => new Promise((resolve, reject) => {
 	const timer = timers.after(timeoutMs, () => {
 		reject(error);
--- a/apps/valelead-daemon/tests/logger.feature
+++ b/apps/valelead-daemon/tests/logger.feature
@@ -1,6 +1,6 @@
 Feature: Logs
-  A reader of the logs that stalls holds up nothing.
+  A log reader that stalls does not block the process.
 
-  Scenario: A process whose log nobody reads goes on and ends
-    When a process writes 8 MB of log lines to a pipe that nobody reads
-    Then it writes all of them without waiting, holds at most 40 MB more for them, and ends
+  Scenario: A process whose log is not read continues and exits
+    When a process writes 8 MB of log lines to a pipe that is not read
+    Then it writes all of them without waiting, uses at most 40 MB more memory, and exits
--- a/apps/valelead-daemon/tests/logger.steps.ts
+++ b/apps/valelead-daemon/tests/logger.steps.ts
@@ -13,7 +13,7 @@
 const PROGRAM = fileURLToPath(new URL('logger-program.js', import.meta.url));
 const MEGABYTE = 1_000_000;
 
-When('a process writes 8 MB of log lines to a pipe that nobody reads', async function (this: LoggerWorld) {
+When('a process writes 8 MB of log lines to a pipe that is not read', async function (this: LoggerWorld) {
 	const child = spawn(process.execPath, [PROGRAM], {stdio: ['ignore', 'pipe', 'inherit', 'ipc']});
 	const [report] = await once(child, 'message') as [LoggerWorld['report']];
 	this.report = report;
@@ -21,7 +21,7 @@
 	this.isEnded = true;
 });
 
-Then('it writes all of them without waiting, holds at most {int} MB more for them, and ends', function (this: LoggerWorld, megabytes: number) {
+Then('it writes all of them without waiting, uses at most {int} MB more memory, and exits', function (this: LoggerWorld, megabytes: number) {
 	assert.equal(this.report.written, 30_000);
 	assert.ok(this.report.heldBytes < megabytes * MEGABYTE, `${this.report.heldBytes} bytes`);
 	assert.ok(this.isEnded);
--- a/apps/valelead-daemon/tests/settings.feature
+++ b/apps/valelead-daemon/tests/settings.feature
@@ -1,10 +1,10 @@
 Feature: Settings
-  Every fault of a settings file is named with its path, the value found and what is allowed.
+  Every invalid setting is reported with its path, its value and the allowed values.
 
   Scenario: The examples have no faults
     Then every file in "examples" has no faults
 
-  Scenario Outline: A fault is named
+  Scenario Outline: A fault is reported
     When "<path>" of the entry example is set to '<value>'
     Then the fault at "<fault>" found '<found>' and says '<allowed>'
 
@@ -19,5 +19,5 @@
       | voter.listen          | "10.9.9.9:1" | voter.listen                 | "10.9.9.9:1" | controlAddresses |
       | voter.consensusHeartbeatMs | 400     | voter.consensusHeartbeatMs   | 400          | a third          |
 
-  Scenario: The error table equals the code
+  Scenario: The error table matches the code
     Then docs/ERRORS.md lists every result code as the code has it
--- a/apps/valelead-daemon/tests/stall-watch.feature
+++ b/apps/valelead-daemon/tests/stall-watch.feature
@@ -1,14 +1,14 @@
-Feature: A process that stands still
-  Its timers fire before its sockets are read when it goes on, so what it takes then may be old.
+Feature: Stall detection
+  When a stalled process continues, its timers fire before its sockets are read, so the input that it reads then may be stale.
 
-  # Guards against: what lay in sockets during a stall, taken for news as the process gets little processor time after it.
-  Scenario: A process has caught up once its timers have fired some times, however long that takes
+  # Guards against treating input that was buffered in sockets during a stall as current, if the process gets little processor time afterwards.
+  Scenario: A process has caught up after its timers have fired several times, however long that takes
     Given a process whose timers fire on time
-    Then what it takes is news
+    Then its input is current
     When no timer fires for 1500 ms
-    Then what it takes may be old
+    Then its input may be stale
     When a timer fires
     And no timer fires for 150 ms
-    Then what it takes may be old
+    Then its input may be stale
     When timers fire on time 3 times
-    Then what it takes is news
+    Then its input is current
--- a/apps/valelead-daemon/tests/stall-watch.steps.ts
+++ b/apps/valelead-daemon/tests/stall-watch.steps.ts
@@ -42,10 +42,10 @@
 	fireOnTime(this, times);
 });
 
-Then('what it takes is news', function (this: StallWorld) {
+Then('its input is current', function (this: StallWorld) {
 	assert.equal(this.stalls.isStalled, false);
 });
 
-Then('what it takes may be old', function (this: StallWorld) {
+Then('its input may be stale', function (this: StallWorld) {
 	assert.equal(this.stalls.isStalled, true);
 });
