--- a/apps/valelead-daemon/src/entry/attempt.ts
+++ b/apps/valelead-daemon/src/entry/attempt.ts
@@ -3,7 +3,7 @@
 	OUTCOME, type OutcomeValue, RESULT_CODE, type ResultCodeValue,
 } from '@valelead/common';
 import type {Frame} from '@valelead/protocol';
-import type {AnswerSink} from './answer-sink.js';
+import type {ResponseSink} from './response-sink.js';
 
 type AttemptEvents = {
 	/** Called when the status of the response has arrived. Returns false to reject the response. */
@@ -20,7 +20,7 @@
 type AttemptParts = {
 	readonly attemptId: string;
 	readonly vm: string;
-	readonly sink: AnswerSink;
+	readonly sink: ResponseSink;
 	readonly maxWholeBytes: number;
 	readonly events: AttemptEvents;
 };
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -14,7 +14,7 @@
 import {newModelList} from './new-model-list.js';
 import {writeRefusal} from './write-refusal.js';
 import {writeWholeAnswer} from './write-whole-answer.js';
-import type {AnswerSink} from './answer-sink.js';
+import type {ResponseSink} from './response-sink.js';
 import type {ClaimClient} from './claim-client.js';
 import type {Dispatcher} from './dispatcher.js';
 import type {IntentFollower} from './intent-follower.js';
@@ -124,7 +124,7 @@
 		this.#arrive(request, sink, requestId);
 	}
 
-	#arrive(request: RoutedRequest, sink: AnswerSink, requestId: string): void {
+	#arrive(request: RoutedRequest, sink: ResponseSink, requestId: string): void {
 		const now = this.#parts.clock.now();
 		this.#parts.dispatcher.arrive({
 			requestId,
--- a/apps/valelead-daemon/src/entry/stream-sink.ts
+++ b/apps/valelead-daemon/src/entry/stream-sink.ts
@@ -5,14 +5,14 @@
 import {breakOff} from '../break-off.js';
 import {newRefusalBody} from './new-refusal-body.js';
 import {writeRefusal} from './write-refusal.js';
-import type {AnswerSink} from './answer-sink.js';
+import type {ResponseSink} from './response-sink.js';
 import type {Refusal} from './refusal.js';
 
 /** The most bytes that an entry buffers for one slow caller. */
 const MAX_BUFFERED_BYTES = 1_048_576;
 
 /** Streams a response to the caller as it arrives. A truncated response ends with an error event, so that it cannot be taken as complete. */
-export class StreamSink implements AnswerSink {
+export class StreamSink implements ResponseSink {
 	readonly #response: ServerResponse;
 	readonly #requestId: string;
 	readonly #timers: TimerService;
--- a/apps/valelead-daemon/src/entry/whole-sink.ts
+++ b/apps/valelead-daemon/src/entry/whole-sink.ts
@@ -1,10 +1,10 @@
 import {Buffer} from 'node:buffer';
-import type {AnswerSink} from './answer-sink.js';
+import type {ResponseSink} from './response-sink.js';
 import type {Refusal} from './refusal.js';
 import type {WholeAnswer} from './whole-answer.js';
 
 /** Buffers a response until it is complete, so that the caller never receives a partial response. */
-export class WholeSink implements AnswerSink {
+export class WholeSink implements ResponseSink {
 	readonly #deliver: (answer: WholeAnswer) => void;
 	readonly #refuse: (refusal: Refusal) => void;
 	#status = 0;
