--- a/apps/valelead-daemon/src/index.ts
+++ b/apps/valelead-daemon/src/index.ts
@@ -3,7 +3,7 @@
 export type {Settings} from './settings/settings.js';
 export {Attempt} from './entry/attempt.js';
 export {StreamSink} from './entry/stream-sink.js';
-export type {ResponseSink as AnswerSink} from './entry/response-sink.js';
+export type {ResponseSink} from './entry/response-sink.js';
 export {IntentFollower} from './entry/intent-follower.js';
 export {newPlacementView} from './control/new-placement-view.js';
 export {runDaemon} from './run-daemon.js';
