--- a/apps/valelead-daemon/src/entry/claim-client.ts
+++ b/apps/valelead-daemon/src/entry/claim-client.ts
@@ -5,7 +5,7 @@
 	type ClaimReply, type LeaderCalls, ClaimRequestSchema, Control,
 } from '@valelead/protocol';
 import type {RoutedRequest} from './routed-request.js';
-import type {WholeAnswer} from './whole-answer.js';
+import type {CompleteResponse} from './complete-response.js';
 
 /** The largest response body that is stored for repeated requests. For a larger response only the outcome is stored. */
 const MAX_KEPT_BYTES = 65_536;
@@ -40,7 +40,7 @@
 	}
 
 	/** Records that the request ran, and stores its response for repeated requests with the same idempotency key. */
-	async settle(request: RoutedRequest, owner: string, answer: WholeAnswer): Promise<void> {
+	async settle(request: RoutedRequest, owner: string, answer: CompleteResponse): Promise<void> {
 		const hasBody = answer.body.length <= MAX_KEPT_BYTES;
 		await this.#settle(request, owner, {
 			outcome: OUTCOME.Ran,
--- a/apps/valelead-daemon/src/entry/whole-answer.ts
+++ b/apps/valelead-daemon/src/entry/complete-response.ts
@@ -1,7 +1,7 @@
 import type {Buffer} from 'node:buffer';
 
 /** A response that was received completely. */
-export type WholeAnswer = {
+export type CompleteResponse = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: Buffer;
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -21,7 +21,7 @@
 import type {KeyIndex} from './key-index.js';
 import type {Refusal} from './refusal.js';
 import type {RoutedRequest} from './routed-request.js';
-import type {WholeAnswer} from './whole-answer.js';
+import type {CompleteResponse} from './complete-response.js';
 
 type HandlerParts = {
 	readonly follower: IntentFollower;
@@ -193,12 +193,12 @@
 		writeWholeAnswer(response, {status: settlement.status, contentType: settlement.contentType, body: Buffer.from(settlement.body)}, requestId);
 	}
 
-	async #settle(request: RoutedRequest, response: ServerResponse, requestId: string, answer: WholeAnswer): Promise<void> {
+	async #settle(request: RoutedRequest, response: ServerResponse, requestId: string, answer: CompleteResponse): Promise<void> {
 		await Promise.race([this.#keepAnswer(request, requestId, answer), this.#parts.timers.wait(SETTLE_WAIT_MS)]);
 		writeWholeAnswer(response, answer, requestId);
 	}
 
-	async #keepAnswer(request: RoutedRequest, requestId: string, answer: WholeAnswer): Promise<void> {
+	async #keepAnswer(request: RoutedRequest, requestId: string, answer: CompleteResponse): Promise<void> {
 		try {
 			await this.#parts.claims.settle(request, requestId, answer);
 		} catch (error) {
--- a/apps/valelead-daemon/src/entry/new-model-list.ts
+++ b/apps/valelead-daemon/src/entry/new-model-list.ts
@@ -1,9 +1,9 @@
 import {Buffer} from 'node:buffer';
 import {type Intent, hasAccess} from '@valelead/intent';
-import type {WholeAnswer} from './whole-answer.js';
+import type {CompleteResponse} from './complete-response.js';
 
 /** Creates the response to `GET /v1/models`: the models, versions and adapters that a team may use, in the list format of the OpenAI API. */
-export const newModelList = (intent: Intent, team: string): WholeAnswer => {
+export const newModelList = (intent: Intent, team: string): CompleteResponse => {
 	const names: string[] = [];
 	for (const model of intent.models.values()) {
 		if (hasAccess(model, team)) {
--- a/apps/valelead-daemon/src/entry/whole-sink.ts
+++ b/apps/valelead-daemon/src/entry/whole-sink.ts
@@ -1,17 +1,17 @@
 import {Buffer} from 'node:buffer';
 import type {ResponseSink} from './response-sink.js';
 import type {Refusal} from './refusal.js';
-import type {WholeAnswer} from './whole-answer.js';
+import type {CompleteResponse} from './complete-response.js';
 
 /** Buffers a response until it is complete, so that the caller never receives a partial response. */
 export class WholeSink implements ResponseSink {
-	readonly #deliver: (answer: WholeAnswer) => void;
+	readonly #deliver: (answer: CompleteResponse) => void;
 	readonly #refuse: (refusal: Refusal) => void;
 	#status = 0;
 	#contentType = '';
 	#chunks: Buffer[] = [];
 
-	constructor(deliver: (answer: WholeAnswer) => void, refuse: (refusal: Refusal) => void) {
+	constructor(deliver: (answer: CompleteResponse) => void, refuse: (refusal: Refusal) => void) {
 		this.#deliver = deliver;
 		this.#refuse = refuse;
 	}
