--- a/apps/valelead-daemon/src/entry/whole-sink.ts
+++ b/apps/valelead-daemon/src/entry/buffered-sink.ts
@@ -4,7 +4,7 @@
 import type {CompleteResponse} from './complete-response.js';
 
 /** Buffers a response until it is complete, so that the caller never receives a partial response. */
-export class WholeSink implements ResponseSink {
+export class BufferedSink implements ResponseSink {
 	readonly #deliver: (answer: CompleteResponse) => void;
 	readonly #refuse: (refusal: Refusal) => void;
 	#status = 0;
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -10,7 +10,7 @@
 import {readBody} from '../read-body.js';
 import {routeRequest} from './route-request.js';
 import {StreamSink} from './stream-sink.js';
-import {WholeSink} from './whole-sink.js';
+import {BufferedSink} from './buffered-sink.js';
 import {newModelList} from './new-model-list.js';
 import {writeRefusal} from './write-refusal.js';
 import {writeWholeAnswer} from './write-whole-answer.js';
@@ -111,7 +111,7 @@
 	async #serve(request: RoutedRequest, response: ServerResponse, requestId: string): Promise<void> {
 		const sink = request.isStream
 			? new StreamSink(response, requestId, this.#parts.timers, this.#parts.streamStallMs)
-			: new WholeSink(answer => {
+			: new BufferedSink(answer => {
 				writeWholeAnswer(response, answer, requestId);
 			}, refusal => {
 				writeRefusal(response, refusal, requestId);
@@ -147,7 +147,7 @@
 			return;
 		}
 
-		const sink = new WholeSink(answer => {
+		const sink = new BufferedSink(answer => {
 			void this.#settle(request, response, requestId, answer);
 		}, refusal => {
 			void this.#giveBack(request, response, requestId, refusal);
