--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -13,7 +13,7 @@
 import {BufferedSink} from './buffered-sink.js';
 import {newModelList} from './new-model-list.js';
 import {writeRefusal} from './write-refusal.js';
-import {writeWholeAnswer} from './write-whole-answer.js';
+import {writeCompleteResponse} from './write-complete-response.js';
 import type {ResponseSink} from './response-sink.js';
 import type {ClaimClient} from './claim-client.js';
 import type {Dispatcher} from './dispatcher.js';
@@ -93,7 +93,7 @@
 		}
 
 		if (message.method === 'GET' && message.url === '/v1/models') {
-			writeWholeAnswer(response, newModelList(intent, team.name), requestId);
+			writeCompleteResponse(response, newModelList(intent, team.name), requestId);
 			return;
 		}
 
@@ -112,7 +112,7 @@
 		const sink = request.isStream
 			? new StreamSink(response, requestId, this.#parts.timers, this.#parts.streamStallMs)
 			: new BufferedSink(answer => {
-				writeWholeAnswer(response, answer, requestId);
+				writeCompleteResponse(response, answer, requestId);
 			}, refusal => {
 				writeRefusal(response, refusal, requestId);
 			});
@@ -190,12 +190,12 @@
 		}
 
 		response.setHeader('idempotent-replayed', 'true');
-		writeWholeAnswer(response, {status: settlement.status, contentType: settlement.contentType, body: Buffer.from(settlement.body)}, requestId);
+		writeCompleteResponse(response, {status: settlement.status, contentType: settlement.contentType, body: Buffer.from(settlement.body)}, requestId);
 	}
 
 	async #settle(request: RoutedRequest, response: ServerResponse, requestId: string, answer: CompleteResponse): Promise<void> {
 		await Promise.race([this.#keepAnswer(request, requestId, answer), this.#parts.timers.wait(SETTLE_WAIT_MS)]);
-		writeWholeAnswer(response, answer, requestId);
+		writeCompleteResponse(response, answer, requestId);
 	}
 
 	async #keepAnswer(request: RoutedRequest, requestId: string, answer: CompleteResponse): Promise<void> {
--- a/apps/valelead-daemon/src/entry/write-whole-answer.ts
+++ b/apps/valelead-daemon/src/entry/write-complete-response.ts
@@ -2,7 +2,7 @@
 import type {CompleteResponse} from './complete-response.js';
 
 /** Writes a complete response with a content length, so that the caller can detect truncation. */
-export const writeWholeAnswer = (response: ServerResponse, answer: CompleteResponse, requestId: string): void => {
+export const writeCompleteResponse = (response: ServerResponse, answer: CompleteResponse, requestId: string): void => {
 	if (response.destroyed || response.headersSent) {
 		return;
 	}
