--- a/apps/valelead-daemon/src/agent/hold-guard-port.ts
+++ b/apps/valelead-daemon/src/agent/acquire-guard-port.ts
@@ -3,7 +3,7 @@
 import {RESULT_CODE, ValeleadError} from '@valelead/common';
 
 /** Binds a local port as a lock, so that only one agent runs on a VM. The kernel releases the port when the process ends for any reason. */
-export const holdGuardPort = async (port: number): Promise<Server> => {
+export const acquireGuardPort = async (port: number): Promise<Server> => {
 	const server = createServer(socket => {
 		socket.destroy();
 	});
--- a/apps/valelead-daemon/src/agent/start-agent.ts
+++ b/apps/valelead-daemon/src/agent/start-agent.ts
@@ -14,7 +14,7 @@
 import type {Stoppable} from '../stoppable.js';
 import {getStartMs} from '../get-start-ms.js';
 import {Agent} from './agent.js';
-import {holdGuardPort} from './hold-guard-port.js';
+import {acquireGuardPort} from './acquire-guard-port.js';
 import {newAgentService} from './new-agent-service.js';
 
 /** The polling interval while waiting for the first status of the upstream and for requests in progress, in milliseconds. */
@@ -22,7 +22,7 @@
 
 /** Starts the agent of one upstream VM. The agent contacts the leader after the first status of the upstream. */
 export const startAgent = async (settings: AgentDaemonSettings, logger: Logger): Promise<Stoppable> => {
-	const guard = await holdGuardPort(settings.guardPort);
+	const guard = await acquireGuardPort(settings.guardPort);
 	const timers = new TimerService(SYSTEM_CLOCK);
 	const pool = new ChannelPool(newChannelCredentials(settings.tls));
 	const upstream = new HttpUpstream(settings.upstream.host, settings.upstream.port, settings.orderTimeoutMs);
