--- a/apps/valelead-daemon/src/main.ts
+++ b/apps/valelead-daemon/src/main.ts
@@ -3,7 +3,7 @@
 import {Command} from 'commander';
 import * as Schema from 'effect/Schema';
 import {runDaemon} from './run-daemon.js';
-import {loadOrExit} from './settings/load-or-exit.js';
+import {loadSettingsOrExit} from './settings/load-settings-or-exit.js';
 import {SETTINGS_SCHEMA} from './settings/settings-schema.js';
 
 const program = new Command('valeleadd')
@@ -18,7 +18,7 @@
 if (options.printSchema) {
 	process.stdout.write(`${JSON.stringify(Schema.toJsonSchemaDocument(SETTINGS_SCHEMA), undefined, '\t')}\n`);
 } else if (options.checkSettings !== undefined) {
-	loadOrExit(options.checkSettings);
+	loadSettingsOrExit(options.checkSettings);
 	process.stdout.write(`${options.checkSettings}: no faults\n`);
 } else if (options.settings === undefined) {
 	program.help({error: true});
--- a/apps/valelead-daemon/src/run-daemon.ts
+++ b/apps/valelead-daemon/src/run-daemon.ts
@@ -12,7 +12,7 @@
 import {startGateway} from './gateway/start-gateway.js';
 import {exitWithLogs} from './exit-with-logs.js';
 import {newLogger} from './logger.js';
-import {loadOrExit} from './settings/load-or-exit.js';
+import {loadSettingsOrExit} from './settings/load-settings-or-exit.js';
 import {SettingsFileWatch} from './settings/settings-file-watch.js';
 import {tryLoadSettings} from './settings/try-load-settings.js';
 import type {Settings} from './settings/settings.js';
@@ -134,7 +134,7 @@
 /** Runs the daemon with a settings file until it is stopped, then exits the process. */
 export const runDaemon = async (file: string, adapter?: Adapter): Promise<void> => {
 	const text = readText(file);
-	const settings = loadOrExit(file);
+	const settings = loadSettingsOrExit(file);
 	const logger = newLogger(settings.logLevel, {vm: settings.vm, role: settings.role});
 	try {
 		await Effect.runPromise(newProgram({
--- a/apps/valelead-daemon/src/settings/load-or-exit.ts
+++ b/apps/valelead-daemon/src/settings/load-settings-or-exit.ts
@@ -4,7 +4,7 @@
 import type {Settings} from './settings.js';
 
 /** Loads a settings file. Prints the faults and exits the process if the file is invalid. */
-export const loadOrExit = (file: string): Settings => {
+export const loadSettingsOrExit = (file: string): Settings => {
 	try {
 		return loadSettings(file);
 	} catch (error) {
