--- a/apps/valelead-daemon/src/agent/agent.ts
+++ b/apps/valelead-daemon/src/agent/agent.ts
@@ -63,7 +63,7 @@
 	start(listener: AgentListener): void {
 		this.#listener = listener;
 		this.#parts.timers.repeat(TICK_MS, () => {
-			this.take({kind: 'tick'});
+			this.handleEvent({kind: 'tick'});
 		});
 		this.#parts.timers.repeat(this.#parts.settings.statusMs, () => {
 			void this.#askStatus();
@@ -72,7 +72,7 @@
 	}
 
 	/** Handles one event and applies its effects. Returns the decision if the event is a dispatch. */
-	take(event: AgentEvent): DispatchDecision | undefined {
+	handleEvent(event: AgentEvent): DispatchDecision | undefined {
 		let decision: DispatchDecision | undefined;
 		for (const effect of mutateAgent(this.#state, this.#settings, event, SYSTEM_CLOCK.now())) {
 			decision = this.#carryOut(effect) ?? decision;
@@ -81,14 +81,14 @@
 		return decision;
 	}
 
-	takeUpdate(update: SessionUpdate): void {
+	applyUpdate(update: SessionUpdate): void {
 		if (!update.orders) {
-			this.take({kind: 'confirmed', requestedAt: update.sentAt});
+			this.handleEvent({kind: 'confirmed', requestedAt: update.sentAt});
 			return;
 		}
 
 		const {revision, isDrained, grants} = update.orders;
-		this.take({kind: 'orders', orders: {revision, isDrained, grants}, requestedAt: update.sentAt});
+		this.handleEvent({kind: 'orders', orders: {revision, isDrained, grants}, requestedAt: update.sentAt});
 	}
 
 	withdraw(attemptId: string, creditId: string): string {
@@ -161,13 +161,13 @@
 		this.#parts.logger.info({
 			event: 'load-ended', ...order, result, tookMs: Math.round(SYSTEM_CLOCK.now() - startedAt),
 		}, 'load ended');
-		this.take({kind: 'loadEnded', unit: order.unit, result});
+		this.handleEvent({kind: 'loadEnded', unit: order.unit, result});
 	}
 
 	async #unload(order: UpstreamOrder): Promise<void> {
 		this.#parts.logger.info({event: 'unload-ordered', ...order}, 'unload ordered');
 		const result = await this.#parts.upstream.unload(order);
-		this.take({kind: 'unloadEnded', unit: order.unit, result});
+		this.handleEvent({kind: 'unloadEnded', unit: order.unit, result});
 	}
 
 	async #askStatus(): Promise<void> {
@@ -180,7 +180,7 @@
 		try {
 			const status = await this.#parts.upstream.getStatus();
 			const isNew = this.#state.status?.incarnation !== status.incarnation || this.#state.status.isLeaving !== status.isLeaving;
-			this.take({kind: 'status', status, requestedAt});
+			this.handleEvent({kind: 'status', status, requestedAt});
 			if (isNew) {
 				this.#listener?.onReport();
 			}
--- a/apps/valelead-daemon/src/agent/new-agent-service.ts
+++ b/apps/valelead-daemon/src/agent/new-agent-service.ts
@@ -65,7 +65,7 @@
 	#take(lane: Lane, {entry, step}: LaneRequest): void {
 		switch (step.case) {
 			case 'want': {
-				this.#agent.take({kind: 'lane', entry, wanted: step.value.wanted});
+				this.#agent.handleEvent({kind: 'lane', entry, wanted: step.value.wanted});
 				break;
 			}
 
@@ -93,7 +93,7 @@
 	#endLane(entry: string, lane: Lane): void {
 		if (entry !== '' && this.#lanes.get(entry) === lane) {
 			this.#lanes.delete(entry);
-			this.#agent.take({kind: 'laneClosed', entry});
+			this.#agent.handleEvent({kind: 'laneClosed', entry});
 		}
 
 		for (const attempt of this.#attempts.values()) {
@@ -108,7 +108,7 @@
 	async #dispatch(lane: Lane, request: DispatchRequest): Promise<void> {
 		const {attemptId, creditId, unit, remainingMs} = request;
 		const writer = new FrameWriter(lane.writer, attemptId);
-		const decision = this.#agent.take({
+		const decision = this.#agent.handleEvent({
 			kind: 'dispatch', attemptId, creditId, unit, remainingMs,
 		});
 		if (decision?.kind !== 'accept') {
@@ -125,7 +125,7 @@
 			await writer.refuse(failure?.code ?? RESULT_CODE.UpstreamFailed, (error as Error).message, failure?.outcome ?? OUTCOME.Unknown);
 		} finally {
 			this.#attempts.delete(attemptId);
-			this.#agent.take({kind: 'attemptEnded', attemptId});
+			this.#agent.handleEvent({kind: 'attemptEnded', attemptId});
 		}
 	}
 
--- a/apps/valelead-daemon/src/agent/start-agent.ts
+++ b/apps/valelead-daemon/src/agent/start-agent.ts
@@ -39,7 +39,7 @@
 		heartbeatMs: settings.heartbeatMs,
 		newReport: sentAt => agent.newReport(sentAt),
 		onUpdate(update) {
-			agent.takeUpdate(update);
+			agent.applyUpdate(update);
 		},
 	});
 	const server = new GrpcServer([{
@@ -68,7 +68,7 @@
 
 	return {
 		async stop() {
-			agent.take({kind: 'stop'});
+			agent.handleEvent({kind: 'stop'});
 			const endsAt = SYSTEM_CLOCK.now() + settings.stopLimitMs;
 			while (agent.state.inProgress > 0 && SYSTEM_CLOCK.now() < endsAt) {
 				await timers.wait(STATUS_WAIT_MS);
--- a/apps/valelead-daemon/src/caller-connections.ts
+++ b/apps/valelead-daemon/src/caller-connections.ts
@@ -55,7 +55,7 @@
 	}
 
 	/** Sets `connection: close` on all responses whose headers have not been sent, now and in the future. */
-	endAfterAnswers(): void {
+	closeAfterResponses(): void {
 		this.#isEnding = true;
 		for (const response of this.#unfinished) {
 			if (!response.headersSent) {
--- a/apps/valelead-daemon/src/entry/caller-server.ts
+++ b/apps/valelead-daemon/src/entry/caller-server.ts
@@ -55,8 +55,8 @@
 	}
 
 	/** Sets `connection: close` on all responses whose headers have not been sent, now and in the future. */
-	endAfterAnswers(): void {
-		this.#connections.endAfterAnswers();
+	closeAfterResponses(): void {
+		this.#connections.closeAfterResponses();
 	}
 
 	/** Stops accepting connections and closes idle ones. Busy connections close after their response. */
--- a/apps/valelead-daemon/src/entry/claim-client.ts
+++ b/apps/valelead-daemon/src/entry/claim-client.ts
@@ -21,7 +21,7 @@
 	}
 
 	/** Claims the right to run a request. Rejects if the quorum does not commit the claim within `timeoutMs`. */
-	async start(request: RoutedRequest, owner: string, lifetimeMs: number, timeoutMs: number): Promise<ClaimReply> {
+	async claim(request: RoutedRequest, owner: string, lifetimeMs: number, timeoutMs: number): Promise<ClaimReply> {
 		const requestHash = createHash('sha256')
 			.update(`${request.method} ${request.service} ${request.path}\n`)
 			.update(request.body)
@@ -59,7 +59,7 @@
 	}
 
 	/** Records that it is unknown whether the request ran. */
-	async doubt(request: RoutedRequest, owner: string): Promise<void> {
+	async settleUnknown(request: RoutedRequest, owner: string): Promise<void> {
 		await this.#settle(request, owner, {
 			outcome: OUTCOME.Unknown, status: 0, contentType: '', body: new Uint8Array(), hasBody: false,
 		});
--- a/apps/valelead-daemon/src/entry/dispatcher.ts
+++ b/apps/valelead-daemon/src/entry/dispatcher.ts
@@ -78,11 +78,11 @@
 	}
 
 	/** Returns the demand since the last call and resets it. The demand is reported to the leader. */
-	takeDemands(): TargetDemand[] {
+	collectDemands(): TargetDemand[] {
 		return mutateTargetDemands(this.#state, this.#parts.clock.now());
 	}
 
-	arrive(exchange: Exchange): void {
+	submit(exchange: Exchange): void {
 		const {request, requestId, arrivedAt} = exchange;
 		const intent = this.#parts.getIntent();
 		const requestClass = intent.classes.get(request.className)!;
@@ -140,7 +140,7 @@
 	}
 
 	/** Aborts all requests. Dispatched requests are refused with an unknown outcome. */
-	cutAll(code: ResultCodeValue): void {
+	abortAll(code: ResultCodeValue): void {
 		this.refuseWaiting(code);
 		for (const exchange of this.#exchanges.values()) {
 			this.#refuse(exchange, code, OUTCOME.Unknown, 0);
@@ -151,7 +151,7 @@
 		}
 	}
 
-	takeEndpoints(changed: readonly Endpoint[], entryCount: number): void {
+	updateEndpoints(changed: readonly Endpoint[], entryCount: number): void {
 		this.#entryCount = Math.max(1, entryCount);
 		if (changed.length === 0) {
 			return;
@@ -200,7 +200,7 @@
 			}
 
 			case 'want': {
-				this.#lanes.want(effect.vm, effect.wanted, this.#parts.clock.now());
+				this.#lanes.setWaitingCount(effect.vm, effect.wanted, this.#parts.clock.now());
 				break;
 			}
 
--- a/apps/valelead-daemon/src/entry/entry.ts
+++ b/apps/valelead-daemon/src/entry/entry.ts
@@ -85,12 +85,12 @@
 
 	stopNow(): void {
 		this.#setEnd(SYSTEM_CLOCK.now());
-		this.#dispatcher.cutAll(RESULT_CODE.Draining);
+		this.#dispatcher.abortAll(RESULT_CODE.Draining);
 	}
 
 	#setEnd(endsAt: number): void {
 		this.#endsAt = endsAt;
-		this.#callers.endAfterAnswers();
+		this.#callers.closeAfterResponses();
 		this.#dispatcher.stop(endsAt);
 	}
 
@@ -152,7 +152,7 @@
 	}
 
 	#newReport(sentAt: number): SessionReport {
-		const demands = this.#dispatcher.takeDemands().map(({target, ...demand}) => ({unit: target, ...demand, inProgress: 0}));
+		const demands = this.#dispatcher.collectDemands().map(({target, ...demand}) => ({unit: target, ...demand, inProgress: 0}));
 		const value = {
 			vm: this.#parts.settings.vm,
 			sentAt,
@@ -165,11 +165,11 @@
 	}
 
 	#takeUpdate(update: SessionUpdate): void {
-		if (this.#follower.take(update)) {
+		if (this.#follower.applyUpdate(update)) {
 			this.#keys.refresh(this.#follower.intent);
 		}
 
-		this.#dispatcher.takeEndpoints(update.endpoints, update.entryCount);
+		this.#dispatcher.updateEndpoints(update.endpoints, update.entryCount);
 	}
 
 	/**
--- a/apps/valelead-daemon/src/entry/exchange-recorder.ts
+++ b/apps/valelead-daemon/src/entry/exchange-recorder.ts
@@ -29,14 +29,14 @@
 	noteData(exchange: Exchange): void {
 		const now = this.#clock.now();
 		const labels = this.#getLabels(exchange);
-		if (exchange.firstPartAt === undefined) {
-			exchange.firstPartAt = now;
+		if (exchange.firstChunkAt === undefined) {
+			exchange.firstChunkAt = now;
 			this.#noteFirstPart(exchange, labels);
 		} else if (exchange.sink.isStream) {
-			this.#metrics.betweenTokens.observe(labels, (now - exchange.lastPartAt) / MS_PER_SECOND);
+			this.#metrics.betweenTokens.observe(labels, (now - exchange.lastChunkAt) / MS_PER_SECOND);
 		}
 
-		exchange.lastPartAt = now;
+		exchange.lastChunkAt = now;
 	}
 
 	noteEnd(exchange: Exchange, code: ResultCodeValue): void {
--- a/apps/valelead-daemon/src/entry/exchange.ts
+++ b/apps/valelead-daemon/src/entry/exchange.ts
@@ -10,6 +10,6 @@
 	/** True if no replica of the target was ready when the request arrived. */
 	readonly wasCold: boolean;
 	dispatchedAt: number | undefined;
-	firstPartAt: number | undefined;
-	lastPartAt: number;
+	firstChunkAt: number | undefined;
+	lastChunkAt: number;
 };
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -126,15 +126,15 @@
 
 	#arrive(request: RoutedRequest, sink: ResponseSink, requestId: string): void {
 		const now = this.#parts.clock.now();
-		this.#parts.dispatcher.arrive({
+		this.#parts.dispatcher.submit({
 			requestId,
 			request,
 			sink,
 			arrivedAt: now,
 			wasCold: !this.#parts.dispatcher.hasEndpoint(request.target),
 			dispatchedAt: undefined,
-			firstPartAt: undefined,
-			lastPartAt: now,
+			firstChunkAt: undefined,
+			lastChunkAt: now,
 		});
 	}
 
@@ -157,7 +157,7 @@
 
 	async #claim(request: RoutedRequest, requestId: string, deadlineMs: number): Promise<ClaimReply> {
 		try {
-			return await this.#parts.claims.start(request, requestId, deadlineMs + CLAIM_SLACK_MS, deadlineMs);
+			return await this.#parts.claims.claim(request, requestId, deadlineMs + CLAIM_SLACK_MS, deadlineMs);
 		} catch {
 			void this.#releaseLater(request, requestId);
 			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.NoQuorum].meaning, {code: RESULT_CODE.NoQuorum, outcome: OUTCOME.NotRun, retryAfterMs: NO_QUORUM_RETRY_MS});
@@ -214,7 +214,7 @@
 	async #giveBack(request: RoutedRequest, response: ServerResponse, requestId: string, refusal: Refusal): Promise<void> {
 		writeRefusal(response, refusal, requestId);
 		try {
-			await (refusal.outcome === OUTCOME.NotRun ? this.#parts.claims.release(request, requestId) : this.#parts.claims.doubt(request, requestId));
+			await (refusal.outcome === OUTCOME.NotRun ? this.#parts.claims.release(request, requestId) : this.#parts.claims.settleUnknown(request, requestId));
 		} catch (error) {
 			this.#logUnsettled(requestId, error);
 		}
--- a/apps/valelead-daemon/src/entry/intent-follower.ts
+++ b/apps/valelead-daemon/src/entry/intent-follower.ts
@@ -30,7 +30,7 @@
 	}
 
 	/** Applies an update of the current leader. Returns true if the configuration changed. */
-	take(update: SessionUpdate): boolean {
+	applyUpdate(update: SessionUpdate): boolean {
 		const before = this.#intent.revision;
 		if (update.snapshot !== '') {
 			this.#takeSnapshot(update.snapshot);
--- a/apps/valelead-daemon/src/entry/lanes.ts
+++ b/apps/valelead-daemon/src/entry/lanes.ts
@@ -94,7 +94,7 @@
 	}
 
 	/** Reports to an agent how many requests are waiting for it. Opens a lane if one is needed. */
-	want(vm: string, wanted: number, now: number): void {
+	setWaitingCount(vm: string, wanted: number, now: number): void {
 		const lane = this.#open.get(vm) ?? (wanted > 0 ? this.#connect(vm, now) : undefined);
 		if (!lane) {
 			return;
--- a/apps/valelead-daemon/src/metrics/metrics.ts
+++ b/apps/valelead-daemon/src/metrics/metrics.ts
@@ -27,8 +27,8 @@
 	readonly unattendedEngines: Gauge;
 	/** Number of voters of the quorum, of reachable voters, and of simultaneous voter failures that the quorum tolerates, as known to this voter. */
 	readonly voters: Gauge;
-	readonly heardVoters: Gauge;
-	readonly borneLosses: Gauge;
+	readonly reachableVoters: Gauge;
+	readonly toleratedLosses: Gauge;
 	/** The fault tolerance in the settings: the number of simultaneous voter failures that the quorum is to survive. */
 	readonly faultTolerance: Gauge;
 	/** Number of upstreams that crashed while they processed requests of this gateway. */
@@ -76,8 +76,8 @@
 		});
 		this.unattendedEngines = new Gauge({name: 'valelead_unattended_engines', help: 'Engines that announce themselves and that no process gives orders to, as the leader knows.', registers});
 		this.voters = new Gauge({name: 'valelead_quorum_voters', help: 'Voters of the quorum.', registers});
-		this.heardVoters = new Gauge({name: 'valelead_quorum_heard_voters', help: 'Voters of the quorum that this voter has heard lately, itself included.', registers});
-		this.borneLosses = new Gauge({name: 'valelead_quorum_borne_losses', help: 'Voters that may be lost at once while the rest is a majority.', registers});
+		this.reachableVoters = new Gauge({name: 'valelead_quorum_heard_voters', help: 'Voters of the quorum that this voter has heard lately, itself included.', registers});
+		this.toleratedLosses = new Gauge({name: 'valelead_quorum_borne_losses', help: 'Voters that may be lost at once while the rest is a majority.', registers});
 		this.faultTolerance = new Gauge({name: 'valelead_quorum_fault_tolerance', help: 'Losses at once that the settings state.', registers});
 		this.refusedControlCalls = new Counter({
 			name: 'valelead_refused_control_calls_total', help: 'Calls of operators and upstreams that were refused, by call and result code.', labelNames: ['call', 'code'], registers,
--- a/apps/valelead-daemon/src/metrics/set-quorum-metrics.ts
+++ b/apps/valelead-daemon/src/metrics/set-quorum-metrics.ts
@@ -5,7 +5,7 @@
 export const setQuorumMetrics = (metrics: Metrics, view: QuorumView | undefined, faultTolerance: number): void => {
 	const voterCount = view?.voters.length ?? 0;
 	metrics.voters.set(voterCount);
-	metrics.heardVoters.set(view?.heard.length ?? 0);
-	metrics.borneLosses.set(getBorneLosses(voterCount));
+	metrics.reachableVoters.set(view?.heard.length ?? 0);
+	metrics.toleratedLosses.set(getBorneLosses(voterCount));
 	metrics.faultTolerance.set(faultTolerance);
 };
