--- a/apps/valelead-daemon/src/admin-server.ts
+++ b/apps/valelead-daemon/src/admin-server.ts
@@ -11,13 +11,13 @@
 	readonly refreshMetrics: () => void;
 };
 
-const answer = (response: ServerResponse, status: number, text: string): void => {
+const respond = (response: ServerResponse, status: number, text: string): void => {
 	response.writeHead(status, {'content-type': 'text/plain; charset=utf-8'});
 	response.end(text);
 };
 
 const writeMetrics = async (metrics: Metrics, response: ServerResponse): Promise<void> => {
-	answer(response, 200, await metrics.registry.metrics());
+	respond(response, 200, await metrics.registry.metrics());
 };
 
 /** Serves health, readiness and metrics to the platform, on a port separate from the one that callers use. */
@@ -30,12 +30,12 @@
 		}
 
 		if (request.url === '/healthz') {
-			answer(response, 200, 'ok\n');
+			respond(response, 200, 'ok\n');
 			return;
 		}
 
 		const reason = request.url === '/readyz' ? parts.getUnreadyReason() : 'no such path';
-		answer(response, reason === undefined ? 200 : 503, `${reason ?? 'ok'}\n`);
+		respond(response, reason === undefined ? 200 : 503, `${reason ?? 'ok'}\n`);
 	});
 	server.listen(parts.port, parts.host);
 	await once(server, 'listening');
--- a/apps/valelead-daemon/src/agent/agent.ts
+++ b/apps/valelead-daemon/src/agent/agent.ts
@@ -28,7 +28,7 @@
 /** The decision to accept or refuse a dispatch. */
 type DispatchDecision = Extract<AgentEffect, {kind: 'accept' | 'refuse'}>;
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
 /** Runs the state machine of the agent of one upstream. Passes events to it and applies the resulting effects, such as loads and unloads. */
 export class Agent {
@@ -37,7 +37,7 @@
 	readonly #state: AgentState = newAgentState();
 	readonly #incarnation = `${Date.now()}-${randomUUID()}`;
 	#listener: AgentListener | undefined;
-	#isAsking = false;
+	#isStatusPending = false;
 
 	constructor(parts: AgentParts) {
 		this.#parts = parts;
@@ -62,20 +62,20 @@
 
 	start(listener: AgentListener): void {
 		this.#listener = listener;
-		this.#parts.timers.repeat(TICK_MS, () => {
+		this.#parts.timers.repeat(TICK_INTERVAL_MS, () => {
 			this.handleEvent({kind: 'tick'});
 		});
 		this.#parts.timers.repeat(this.#parts.settings.statusMs, () => {
-			void this.#askStatus();
+			void this.#pollStatus();
 		});
-		void this.#askStatus();
+		void this.#pollStatus();
 	}
 
 	/** Handles one event and applies its effects. Returns the decision if the event is a dispatch. */
 	handleEvent(event: AgentEvent): DispatchDecision | undefined {
 		let decision: DispatchDecision | undefined;
 		for (const effect of mutateAgent(this.#state, this.#settings, event, SYSTEM_CLOCK.now())) {
-			decision = this.#carryOut(effect) ?? decision;
+			decision = this.#applyEffect(effect) ?? decision;
 		}
 
 		return decision;
@@ -126,7 +126,7 @@
 		return this.#state.status !== undefined;
 	}
 
-	#carryOut(effect: AgentEffect): DispatchDecision | undefined {
+	#applyEffect(effect: AgentEffect): DispatchDecision | undefined {
 		switch (effect.kind) {
 			case 'load': {
 				void this.#load(effect.order);
@@ -170,12 +170,12 @@
 		this.handleEvent({kind: 'unloadEnded', unit: order.unit, result});
 	}
 
-	async #askStatus(): Promise<void> {
-		if (this.#isAsking) {
+	async #pollStatus(): Promise<void> {
+		if (this.#isStatusPending) {
 			return;
 		}
 
-		this.#isAsking = true;
+		this.#isStatusPending = true;
 		const requestedAt = SYSTEM_CLOCK.now();
 		try {
 			const status = await this.#parts.upstream.getStatus();
@@ -187,7 +187,7 @@
 		} catch (error) {
 			this.#parts.logger.debug({event: 'upstream-silent', reason: (error as Error).message}, 'upstream status request failed');
 		} finally {
-			this.#isAsking = false;
+			this.#isStatusPending = false;
 		}
 	}
 }
--- a/apps/valelead-daemon/src/agent/lane-writer.ts
+++ b/apps/valelead-daemon/src/agent/lane-writer.ts
@@ -9,7 +9,7 @@
 	#frames: Frame[] = [];
 	#credits: string[] = [];
 	#validForMs = 0;
-	#isFlushDue = false;
+	#isFlushScheduled = false;
 	#isFull = false;
 
 	constructor(lane: ServerDuplexStream<unknown, LaneUpdate>) {
@@ -19,7 +19,7 @@
 	/** Adds a frame. Resolves when the stream accepts more data or was cancelled. */
 	async addFrame(frame: Frame): Promise<void> {
 		this.#frames.push(frame);
-		this.#flushSoon();
+		this.#scheduleFlush();
 		if (this.#isFull && this.#lane.writable) {
 			await Promise.race([once(this.#lane, 'drain'), once(this.#lane, 'cancelled')]);
 		}
@@ -28,12 +28,12 @@
 	addCredits(ids: readonly string[], validForMs: number): void {
 		this.#credits.push(...ids);
 		this.#validForMs = validForMs;
-		this.#flushSoon();
+		this.#scheduleFlush();
 	}
 
-	#flushSoon(): void {
-		if (!this.#isFlushDue) {
-			this.#isFlushDue = true;
+	#scheduleFlush(): void {
+		if (!this.#isFlushScheduled) {
+			this.#isFlushScheduled = true;
 			setImmediate(() => {
 				this.#flush();
 			});
@@ -41,7 +41,7 @@
 	}
 
 	#flush(): void {
-		this.#isFlushDue = false;
+		this.#isFlushScheduled = false;
 		const update = create(LaneUpdateSchema, {
 			frames: this.#frames,
 			...(this.#credits.length > 0 && {credits: {ids: this.#credits, validForMs: this.#validForMs}}),
--- a/apps/valelead-daemon/src/agent/new-agent-service.ts
+++ b/apps/valelead-daemon/src/agent/new-agent-service.ts
@@ -47,10 +47,10 @@
 		stream.on('data', (request: LaneRequest) => {
 			entry = request.entry;
 			this.#lanes.set(entry, lane);
-			this.#take(lane, request);
+			this.#handleRequest(lane, request);
 		});
 		const end = (): void => {
-			this.#endLane(entry, lane);
+			this.#closeLane(entry, lane);
 		};
 
 		stream.on('end', end);
@@ -62,7 +62,7 @@
 		this.#lanes.get(entry)?.writer.addCredits(ids, this.#agent.creditMs);
 	}
 
-	#take(lane: Lane, {entry, step}: LaneRequest): void {
+	#handleRequest(lane: Lane, {entry, step}: LaneRequest): void {
 		switch (step.case) {
 			case 'want': {
 				this.#agent.handleEvent({kind: 'lane', entry, wanted: step.value.wanted});
@@ -90,7 +90,7 @@
 	}
 
 	/** Closes a lane and aborts its attempts. Attempts of requests that may not be repeated continue, so that the upstream completes them. */
-	#endLane(entry: string, lane: Lane): void {
+	#closeLane(entry: string, lane: Lane): void {
 		if (entry !== '' && this.#lanes.get(entry) === lane) {
 			this.#lanes.delete(entry);
 			this.#agent.handleEvent({kind: 'laneClosed', entry});
@@ -130,9 +130,9 @@
 	}
 
 	async #run(request: DispatchRequest, writer: FrameWriter, signal: AbortSignal): Promise<void> {
-		const answer = await this.#upstream.send({...request, body: Buffer.from(request.body)}, signal);
-		await writer.start(answer.status, answer.contentType);
-		for await (const chunk of answer.body) {
+		const response = await this.#upstream.send({...request, body: Buffer.from(request.body)}, signal);
+		await writer.start(response.status, response.contentType);
+		for await (const chunk of response.body) {
 			await writer.data(chunk);
 		}
 
--- a/apps/valelead-daemon/src/agent/start-agent.ts
+++ b/apps/valelead-daemon/src/agent/start-agent.ts
@@ -18,7 +18,7 @@
 import {newAgentService} from './new-agent-service.js';
 
 /** The polling interval while waiting for the first status of the upstream and for requests in progress, in milliseconds. */
-const STATUS_WAIT_MS = 50;
+const STATUS_POLL_INTERVAL_MS = 50;
 
 /** Starts the agent of one upstream VM. The agent contacts the leader after the first status of the upstream. */
 export const startAgent = async (settings: AgentDaemonSettings, logger: Logger): Promise<Stoppable> => {
@@ -58,9 +58,9 @@
 			metrics.configurationAge.set((SYSTEM_CLOCK.now() - agent.state.confirmedAt) / 1000);
 		},
 	});
-	const announce = timers.repeat(STATUS_WAIT_MS, () => {
+	const startupCheck = timers.repeat(STATUS_POLL_INTERVAL_MS, () => {
 		if (agent.hasStatus) {
-			announce.cancel();
+			startupCheck.cancel();
 			session.start();
 			logger.info({event: 'started', startMs: getStartMs()}, 'agent started');
 		}
@@ -71,11 +71,11 @@
 			agent.handleEvent({kind: 'stop'});
 			const endsAt = SYSTEM_CLOCK.now() + settings.stopLimitMs;
 			while (agent.state.inProgress > 0 && SYSTEM_CLOCK.now() < endsAt) {
-				await timers.wait(STATUS_WAIT_MS);
+				await timers.wait(STATUS_POLL_INTERVAL_MS);
 			}
 
-			await timers.wait(STATUS_WAIT_MS);
-			announce.cancel();
+			await timers.wait(STATUS_POLL_INTERVAL_MS);
+			startupCheck.cancel();
 			session.stop();
 			server.stop();
 			admin.close();
--- a/apps/valelead-daemon/src/break-off.ts
+++ b/apps/valelead-daemon/src/break-off.ts
@@ -1,7 +1,7 @@
 import type {ServerResponse} from 'node:http';
 
 /** The first version of HTTP with chunked transfer encoding. */
-const HTTP_WITH_CHUNKS = '1.1';
+const CHUNKED_HTTP_VERSION = '1.1';
 
 /**
  * Aborts an incomplete response so that the caller detects the truncation. With chunked encoding or a content length, closing the connection
@@ -9,7 +9,7 @@
  * connection is reset.
  */
 export const breakOff = (response: ServerResponse): void => {
-	if (response.req.httpVersion < HTTP_WITH_CHUNKS) {
+	if (response.req.httpVersion < CHUNKED_HTTP_VERSION) {
 		response.socket?.resetAndDestroy();
 	}
 
--- a/apps/valelead-daemon/src/caller-connections.ts
+++ b/apps/valelead-daemon/src/caller-connections.ts
@@ -15,7 +15,7 @@
 export class CallerConnections {
 	readonly #connections = new Map<Socket, Connection>();
 	readonly #unfinished = new Set<ServerResponse>();
-	#isEnding = false;
+	#isClosing = false;
 
 	/** Number of responses with data still buffered in this process. The data is lost if the process exits. */
 	get unfinishedCount(): number {
@@ -43,7 +43,7 @@
 
 		connection.unfinished += 1;
 		this.#unfinished.add(response);
-		if (this.#isEnding) {
+		if (this.#isClosing) {
 			response.setHeader('connection', 'close');
 		}
 
@@ -56,7 +56,7 @@
 
 	/** Sets `connection: close` on all responses whose headers have not been sent, now and in the future. */
 	closeAfterResponses(): void {
-		this.#isEnding = true;
+		this.#isClosing = true;
 		for (const response of this.#unfinished) {
 			if (!response.headersSent) {
 				response.setHeader('connection', 'close');
--- a/apps/valelead-daemon/src/entry/attempt.ts
+++ b/apps/valelead-daemon/src/entry/attempt.ts
@@ -59,12 +59,12 @@
 		}
 
 		if (frame.attemptId !== this.#parts.attemptId || frame.sequence !== this.#sequence) {
-			this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+			this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			return;
 		}
 
 		this.#sequence += 1;
-		this.#takePart(frame.part);
+		this.#handlePart(frame.part);
 	}
 
 	/** Ends the attempt after its lane has closed. If no frame had arrived, the agent is asked, as it may confirm that the request did not run. */
@@ -79,20 +79,20 @@
 		this.#parts.events.onFailure(code, outcome);
 	}
 
-	#takePart(part: Frame['part']): void {
+	#handlePart(part: Frame['part']): void {
 		switch (part.case) {
 			case 'start': {
-				this.#start(part.value.status, part.value.contentType);
+				this.#handleStart(part.value.status, part.value.contentType);
 				break;
 			}
 
 			case 'data': {
-				this.#addData(Buffer.from(part.value));
+				this.#handleData(Buffer.from(part.value));
 				break;
 			}
 
 			case 'end': {
-				this.#end(part.value.frames, part.value.bytes);
+				this.#handleEnd(part.value.frames, part.value.bytes);
 				break;
 			}
 
@@ -103,25 +103,25 @@
 			}
 
 			default: {
-				this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+				this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			}
 		}
 	}
 
-	#start(status: number, contentType: string): void {
+	#handleStart(status: number, contentType: string): void {
 		if (!this.#parts.events.onStart(status)) {
 			const code = status >= HTTP_SERVER_ERROR ? RESULT_CODE.UpstreamFailed : RESULT_CODE.UpstreamRejected;
-			this.#fail(code, OUTCOME.Unknown);
+			this.#abort(code, OUTCOME.Unknown);
 			return;
 		}
 
 		this.#parts.sink.start(status, contentType);
 	}
 
-	#addData(chunk: Buffer): void {
+	#handleData(chunk: Buffer): void {
 		this.#bytes += chunk.length;
 		if (!this.#parts.sink.isStream && this.#bytes > this.#parts.maxWholeBytes) {
-			this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+			this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			return;
 		}
 
@@ -129,9 +129,9 @@
 		this.#parts.sink.data(chunk);
 	}
 
-	#end(frames: number, bytes: number): void {
+	#handleEnd(frames: number, bytes: number): void {
 		if (frames !== this.#sequence - 1 || bytes !== this.#bytes) {
-			this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+			this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			return;
 		}
 
@@ -139,7 +139,7 @@
 		this.#parts.events.onEnd();
 	}
 
-	#fail(code: ResultCodeValue, outcome: OutcomeValue): void {
+	#abort(code: ResultCodeValue, outcome: OutcomeValue): void {
 		this.cancel();
 		this.#parts.events.onFailure(code, outcome);
 	}
--- a/apps/valelead-daemon/src/entry/buffered-sink.ts
+++ b/apps/valelead-daemon/src/entry/buffered-sink.ts
@@ -5,13 +5,13 @@
 
 /** Buffers a response until it is complete, so that the caller never receives a partial response. */
 export class BufferedSink implements ResponseSink {
-	readonly #deliver: (answer: CompleteResponse) => void;
+	readonly #deliver: (response: CompleteResponse) => void;
 	readonly #refuse: (refusal: Refusal) => void;
 	#status = 0;
 	#contentType = '';
 	#chunks: Buffer[] = [];
 
-	constructor(deliver: (answer: CompleteResponse) => void, refuse: (refusal: Refusal) => void) {
+	constructor(deliver: (response: CompleteResponse) => void, refuse: (refusal: Refusal) => void) {
 		this.#deliver = deliver;
 		this.#refuse = refuse;
 	}
--- a/apps/valelead-daemon/src/entry/caller-server.ts
+++ b/apps/valelead-daemon/src/entry/caller-server.ts
@@ -14,10 +14,10 @@
 const REQUEST_TIMEOUT_MS = 60_000;
 
 /** Number of connections beyond the limit whose requests are refused with an error response. Connections beyond those are dropped. */
-const SPARE_CONNECTIONS = 64;
+const REFUSED_CONNECTIONS = 64;
 
 /** The Retry-After time of requests on connections beyond the limit, in milliseconds. */
-const RETRY_MS = 1000;
+const RETRY_AFTER_MS = 1000;
 
 /** The HTTP server for callers and for the readiness checks of the platform's load balancer. */
 export class CallerServer {
@@ -35,9 +35,9 @@
 			maxHeaderSize: MAX_HEADER_BYTES, headersTimeout: HEADERS_TIMEOUT_MS, requestTimeout: REQUEST_TIMEOUT_MS,
 		}, (message, response) => {
 			this.#connections.note(response);
-			this.#serve(message, response);
+			this.#handle(message, response);
 		});
-		this.#server.maxConnections = settings.maxConnections + SPARE_CONNECTIONS;
+		this.#server.maxConnections = settings.maxConnections + REFUSED_CONNECTIONS;
 		this.#server.on('connection', socket => {
 			this.#connections.add(socket);
 			socket.setNoDelay(true);
@@ -70,7 +70,7 @@
 		this.#connections.closeIdle();
 	}
 
-	#serve(message: IncomingMessage, response: ServerResponse): void {
+	#handle(message: IncomingMessage, response: ServerResponse): void {
 		if (message.url === '/healthz' || message.url === '/readyz') {
 			const reason = message.url === '/readyz' ? this.#getUnreadyReason() : undefined;
 			response.writeHead(reason === undefined ? 200 : 503, {'content-type': 'text/plain'});
@@ -81,7 +81,7 @@
 		if (this.#connections.size > this.#settings.maxConnections) {
 			response.setHeader('connection', 'close');
 			writeRefusal(response, {
-				code: RESULT_CODE.TooManyConnections, message: RESULT_DETAILS[RESULT_CODE.TooManyConnections].meaning, outcome: OUTCOME.NotRun, retryAfterMs: RETRY_MS,
+				code: RESULT_CODE.TooManyConnections, message: RESULT_DETAILS[RESULT_CODE.TooManyConnections].meaning, outcome: OUTCOME.NotRun, retryAfterMs: RETRY_AFTER_MS,
 			}, '');
 			return;
 		}
--- a/apps/valelead-daemon/src/entry/claim-client.ts
+++ b/apps/valelead-daemon/src/entry/claim-client.ts
@@ -8,7 +8,7 @@
 import type {CompleteResponse} from './complete-response.js';
 
 /** The largest response body that is stored for repeated requests. For a larger response only the outcome is stored. */
-const MAX_KEPT_BYTES = 65_536;
+const MAX_STORED_BODY_BYTES = 65_536;
 
 const SETTLE_TIMEOUT_MS = 30_000;
 
@@ -40,13 +40,13 @@
 	}
 
 	/** Records that the request ran, and stores its response for repeated requests with the same idempotency key. */
-	async settle(request: RoutedRequest, owner: string, answer: CompleteResponse): Promise<void> {
-		const hasBody = answer.body.length <= MAX_KEPT_BYTES;
+	async settle(request: RoutedRequest, owner: string, response: CompleteResponse): Promise<void> {
+		const hasBody = response.body.length <= MAX_STORED_BODY_BYTES;
 		await this.#settle(request, owner, {
 			outcome: OUTCOME.Ran,
-			status: answer.status,
-			contentType: answer.contentType,
-			body: hasBody ? answer.body : new Uint8Array(),
+			status: response.status,
+			contentType: response.contentType,
+			body: hasBody ? response.body : new Uint8Array(),
 			hasBody,
 		});
 	}
--- a/apps/valelead-daemon/src/entry/dispatcher.ts
+++ b/apps/valelead-daemon/src/entry/dispatcher.ts
@@ -30,7 +30,7 @@
 
 type Dispatch = Extract<AdmissionEffect, {kind: 'dispatch'}>;
 
-const TICK_MS = 25;
+const TICK_INTERVAL_MS = 25;
 const HTTP_SERVER_ERROR = 500;
 
 /** Runs the admission control of an entry. Passes events to it and applies the resulting dispatches, refusals and cancellations. */
@@ -49,7 +49,7 @@
 		this.#recorder = new ExchangeRecorder(parts.metrics, parts.clock);
 		this.#lanes = new Lanes(parts.entry, parts.pool, {
 			onCredits: (vm, creditIds, validForMs) => {
-				this.#take({
+				this.#handleEvent({
 					kind: 'credits', vm, creditIds, validForMs,
 				});
 			},
@@ -60,8 +60,8 @@
 				this.#closeLane(vm);
 			},
 		}, parts.timers);
-		parts.timers.repeat(TICK_MS, () => {
-			this.#take({kind: 'tick'});
+		parts.timers.repeat(TICK_INTERVAL_MS, () => {
+			this.#handleEvent({kind: 'tick'});
 		});
 	}
 
@@ -88,7 +88,7 @@
 		const requestClass = intent.classes.get(request.className)!;
 		const team = intent.teams.get(request.team)!;
 		this.#exchanges.set(requestId, exchange);
-		this.#take({
+		this.#handleEvent({
 			kind: 'arrive',
 			ticket: {
 				requestId,
@@ -102,9 +102,9 @@
 				isRepeatable: request.isRepeatable,
 			},
 			limits: {
-				teamInProgress: this.#getShare(team.maxInProgress),
-				teamWaiting: this.#getShare(team.maxWaiting),
-				classWaiting: this.#getShare(requestClass.maxWaiting),
+				teamInProgress: this.#getLimitPerEntry(team.maxInProgress),
+				teamWaiting: this.#getLimitPerEntry(team.maxWaiting),
+				classWaiting: this.#getLimitPerEntry(requestClass.maxWaiting),
 			},
 		});
 		if (exchange.wasCold) {
@@ -123,12 +123,12 @@
 		}
 
 		this.#exchanges.delete(requestId);
-		this.#take({kind: 'abandon', requestId});
+		this.#handleEvent({kind: 'abandon', requestId});
 		this.#finish(exchange, RESULT_CODE.ClientClosed);
 	}
 
 	refuseWaiting(code: ResultCodeValue): void {
-		this.#take({kind: 'refuseAll', code});
+		this.#handleEvent({kind: 'refuseAll', code});
 	}
 
 	/**
@@ -136,7 +136,7 @@
 	 * @param endsAt - When the requests in progress are aborted, in monotonic milliseconds.
 	 */
 	stop(endsAt: number): void {
-		this.#take({kind: 'stop', endsAt});
+		this.#handleEvent({kind: 'stop', endsAt});
 	}
 
 	/** Aborts all requests. Dispatched requests are refused with an unknown outcome. */
@@ -164,20 +164,20 @@
 			}
 		}
 
-		this.#take({kind: 'endpoints', endpoints: newEndpointIndex(this.#endpoints.values())});
+		this.#handleEvent({kind: 'endpoints', endpoints: newEndpointIndex(this.#endpoints.values())});
 	}
 
-	#getShare(limit: number): number {
+	#getLimitPerEntry(limit: number): number {
 		return Math.max(1, Math.floor(limit / this.#entryCount));
 	}
 
-	#take(event: AdmissionEvent): void {
+	#handleEvent(event: AdmissionEvent): void {
 		for (const effect of mutateAdmission(this.#state, this.#parts.settings, event, this.#parts.clock.now())) {
-			this.#carryOut(effect);
+			this.#applyEffect(effect);
 		}
 	}
 
-	#carryOut(effect: AdmissionEffect): void {
+	#applyEffect(effect: AdmissionEffect): void {
 		switch (effect.kind) {
 			case 'dispatch': {
 				this.#dispatch(effect);
@@ -226,7 +226,7 @@
 		this.#attempts.set(dispatch.attemptId, attempt);
 		const {weight} = this.#parts.getIntent().classes.get(exchange.request.className)!;
 		if (!this.#lanes.dispatch(dispatch.vm, newDispatchRequest(exchange, dispatch, weight))) {
-			this.#fail(exchange, dispatch.attemptId, RESULT_CODE.AgentLost, OUTCOME.NotRun);
+			this.#handleFailure(exchange, dispatch.attemptId, RESULT_CODE.AgentLost, OUTCOME.NotRun);
 		}
 	}
 
@@ -237,15 +237,15 @@
 			sink: exchange.sink,
 			maxWholeBytes: this.#parts.maxAnswerBytes,
 			events: {
-				onStart: status => this.#start(exchange, attemptId, status),
+				onStart: status => this.#handleStart(exchange, attemptId, status),
 				onData: () => {
 					this.#recorder.noteData(exchange);
 				},
 				onEnd: () => {
-					this.#end(exchange, attemptId);
+					this.#handleEnd(exchange, attemptId);
 				},
 				onFailure: (code, outcome) => {
-					this.#fail(exchange, attemptId, code, outcome);
+					this.#handleFailure(exchange, attemptId, code, outcome);
 				},
 				onCancel: () => {
 					this.#lanes.cancel(vm, attemptId);
@@ -256,7 +256,7 @@
 	}
 
 	#closeLane(vm: string): void {
-		this.#take({kind: 'laneClosed', vm});
+		this.#handleEvent({kind: 'laneClosed', vm});
 		for (const attempt of this.#attempts.values()) {
 			if (attempt.vm === vm) {
 				void attempt.lose();
@@ -275,32 +275,32 @@
 	/**
 	 * Returns false for a server error of a repeatable request, so that the request is retried at another upstream instead of passing on the error.
 	 */
-	#start(exchange: Exchange, attemptId: string, status: number): boolean {
+	#handleStart(exchange: Exchange, attemptId: string, status: number): boolean {
 		if (status >= HTTP_SERVER_ERROR && exchange.request.isRepeatable) {
 			return false;
 		}
 
 		if (exchange.sink.isStream) {
-			this.#take({kind: 'started', requestId: exchange.requestId, attemptId});
+			this.#handleEvent({kind: 'started', requestId: exchange.requestId, attemptId});
 		}
 
 		return true;
 	}
 
-	#end(exchange: Exchange, attemptId: string): void {
+	#handleEnd(exchange: Exchange, attemptId: string): void {
 		this.#dropAttempt(attemptId);
 		if (!this.#exchanges.delete(exchange.requestId)) {
 			return;
 		}
 
 		exchange.sink.end();
-		this.#take({kind: 'finished', requestId: exchange.requestId, attemptId});
+		this.#handleEvent({kind: 'finished', requestId: exchange.requestId, attemptId});
 		this.#finish(exchange, RESULT_CODE.Ok);
 	}
 
-	#fail(exchange: Exchange, attemptId: string, code: ResultCodeValue, outcome: OutcomeValue): void {
+	#handleFailure(exchange: Exchange, attemptId: string, code: ResultCodeValue, outcome: OutcomeValue): void {
 		this.#dropAttempt(attemptId);
-		this.#take({
+		this.#handleEvent({
 			kind: 'failed', requestId: exchange.requestId, attemptId, code, outcome, jitter: Math.random(),
 		});
 	}
--- a/apps/valelead-daemon/src/entry/entry.ts
+++ b/apps/valelead-daemon/src/entry/entry.ts
@@ -29,7 +29,7 @@
 	readonly pool: ChannelPool;
 };
 
-const IDLE_POLL_MS = 20;
+const IDLE_POLL_INTERVAL_MS = 20;
 const MS_PER_SECOND = 1000;
 
 /** A gateway of the role entry. Follows the configuration of the leader, receives requests of callers and dispatches them to agents. */
@@ -56,7 +56,7 @@
 		const {settings, timers, logger} = this.#parts;
 		this.#session.start();
 		timers.repeat(settings.heartbeatMs, () => {
-			this.#refuseWhenCutOff();
+			this.#refuseIfPartitioned();
 		});
 		await this.#callers.listen();
 		this.#admin = await startAdminServer({
@@ -74,7 +74,7 @@
 	/** Fails readiness, waits for the load balancer to notice, refuses requests that could not end in time and waits for the remaining ones. */
 	async stop(): Promise<void> {
 		const {settings, timers} = this.#parts;
-		this.#setEnd(SYSTEM_CLOCK.now() + settings.balancerDelayMs + settings.stopLimitMs);
+		this.#beginStop(SYSTEM_CLOCK.now() + settings.balancerDelayMs + settings.stopLimitMs);
 		await timers.wait(settings.balancerDelayMs);
 		this.#callers.close();
 		await this.#waitUntilIdle();
@@ -84,11 +84,11 @@
 	}
 
 	stopNow(): void {
-		this.#setEnd(SYSTEM_CLOCK.now());
+		this.#beginStop(SYSTEM_CLOCK.now());
 		this.#dispatcher.abortAll(RESULT_CODE.Draining);
 	}
 
-	#setEnd(endsAt: number): void {
+	#beginStop(endsAt: number): void {
 		this.#endsAt = endsAt;
 		this.#callers.closeAfterResponses();
 		this.#dispatcher.stop(endsAt);
@@ -109,7 +109,7 @@
 				this.#session.reportSoon();
 			},
 			onEnd: (exchange, code) => {
-				this.#log(exchange, code);
+				this.#logEnd(exchange, code);
 			},
 		});
 	}
@@ -141,7 +141,7 @@
 			heartbeatMs: settings.heartbeatMs,
 			newReport: sentAt => this.#newReport(sentAt),
 			onUpdate: update => {
-				this.#takeUpdate(update);
+				this.#applyUpdate(update);
 			},
 		});
 	}
@@ -164,7 +164,7 @@
 		return create(SessionReportSchema, {report: {case: 'entry', value}});
 	}
 
-	#takeUpdate(update: SessionUpdate): void {
+	#applyUpdate(update: SessionUpdate): void {
 		if (this.#follower.applyUpdate(update)) {
 			this.#keys.refresh(this.#follower.intent);
 		}
@@ -186,7 +186,7 @@
 		return code === undefined ? undefined : RESULT_DETAILS[code].name;
 	}
 
-	#refuseWhenCutOff(): void {
+	#refuseIfPartitioned(): void {
 		if (this.#getClosedCode() === RESULT_CODE.ConfigurationTooOld) {
 			this.#dispatcher.refuseWaiting(RESULT_CODE.ConfigurationTooOld);
 		}
@@ -195,12 +195,12 @@
 	async #waitUntilIdle(): Promise<void> {
 		const isBusy = (): boolean => this.#dispatcher.inProgress > 0 || this.#callers.unfinishedCount > 0;
 		while (isBusy() && SYSTEM_CLOCK.now() < this.#endsAt!) {
-			await this.#parts.timers.wait(IDLE_POLL_MS);
+			await this.#parts.timers.wait(IDLE_POLL_INTERVAL_MS);
 			this.#callers.closeIdle();
 		}
 	}
 
-	#log({requestId, request, arrivedAt}: Exchange, code: ResultCodeValue): void {
+	#logEnd({requestId, request, arrivedAt}: Exchange, code: ResultCodeValue): void {
 		const {team, className, target} = request;
 		const tookMs = Math.round(SYSTEM_CLOCK.now() - arrivedAt);
 		this.#parts.logger.info({
--- a/apps/valelead-daemon/src/entry/exchange-recorder.ts
+++ b/apps/valelead-daemon/src/entry/exchange-recorder.ts
@@ -31,7 +31,7 @@
 		const labels = this.#getLabels(exchange);
 		if (exchange.firstChunkAt === undefined) {
 			exchange.firstChunkAt = now;
-			this.#noteFirstPart(exchange, labels);
+			this.#noteFirstChunk(exchange, labels);
 		} else if (exchange.sink.isStream) {
 			this.#metrics.betweenTokens.observe(labels, (now - exchange.lastChunkAt) / MS_PER_SECOND);
 		}
@@ -45,7 +45,7 @@
 		this.#metrics.results.inc({...labels, code: String(code)});
 	}
 
-	#noteFirstPart(exchange: Exchange, labels: RequestLabels): void {
+	#noteFirstChunk(exchange: Exchange, labels: RequestLabels): void {
 		const seconds = this.#getSecondsSince(exchange.arrivedAt);
 		this.#metrics.firstToken.observe(labels, seconds);
 		if (exchange.wasCold) {
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -38,16 +38,16 @@
 };
 
 /** The time after the deadline of its class at which an unsettled claim is overdue, in milliseconds. */
-const CLAIM_SLACK_MS = 10_000;
+const CLAIM_GRACE_MS = 10_000;
 
 /** The Retry-After time of a repeated request whose first copy is still in progress, in milliseconds. */
-const IN_PROGRESS_RETRY_MS = 1000;
+const IN_PROGRESS_RETRY_AFTER_MS = 1000;
 
 /** The Retry-After time of requests whose claim the quorum did not commit, in milliseconds. */
-const NO_QUORUM_RETRY_MS = 2000;
+const NO_QUORUM_RETRY_AFTER_MS = 2000;
 
 /** The longest time that a complete response is held back until the quorum has stored it, in milliseconds. */
-const SETTLE_WAIT_MS = 1000;
+const SETTLE_TIMEOUT_MS = 1000;
 
 const toRefusal = (error: unknown): Refusal => {
 	const known = error instanceof ValeleadError ? error : undefined;
@@ -111,8 +111,8 @@
 	async #serve(request: RoutedRequest, response: ServerResponse, requestId: string): Promise<void> {
 		const sink = request.isStream
 			? new StreamSink(response, requestId, this.#parts.timers, this.#parts.streamStallMs)
-			: new BufferedSink(answer => {
-				writeCompleteResponse(response, answer, requestId);
+			: new BufferedSink(completeResponse => {
+				writeCompleteResponse(response, completeResponse, requestId);
 			}, refusal => {
 				writeRefusal(response, refusal, requestId);
 			});
@@ -121,10 +121,10 @@
 				this.#parts.dispatcher.abandon(requestId);
 			}
 		});
-		this.#arrive(request, sink, requestId);
+		this.#submit(request, sink, requestId);
 	}
 
-	#arrive(request: RoutedRequest, sink: ResponseSink, requestId: string): void {
+	#submit(request: RoutedRequest, sink: ResponseSink, requestId: string): void {
 		const now = this.#parts.clock.now();
 		this.#parts.dispatcher.submit({
 			requestId,
@@ -143,29 +143,29 @@
 		const {deadlineMs} = this.#parts.follower.intent.classes.get(request.className)!;
 		const reply = await this.#claim(request, requestId, deadlineMs);
 		if (reply.kind !== 'claimed') {
-			this.#answerClaimed(reply, response, requestId);
+			this.#respondFromClaim(reply, response, requestId);
 			return;
 		}
 
-		const sink = new BufferedSink(answer => {
-			void this.#settle(request, response, requestId, answer);
+		const sink = new BufferedSink(completeResponse => {
+			void this.#deliverOnce(request, response, requestId, completeResponse);
 		}, refusal => {
-			void this.#giveBack(request, response, requestId, refusal);
+			void this.#refuseClaimed(request, response, requestId, refusal);
 		});
-		this.#arrive(request, sink, requestId);
+		this.#submit(request, sink, requestId);
 	}
 
 	async #claim(request: RoutedRequest, requestId: string, deadlineMs: number): Promise<ClaimReply> {
 		try {
-			return await this.#parts.claims.claim(request, requestId, deadlineMs + CLAIM_SLACK_MS, deadlineMs);
+			return await this.#parts.claims.claim(request, requestId, deadlineMs + CLAIM_GRACE_MS, deadlineMs);
 		} catch {
-			void this.#releaseLater(request, requestId);
-			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.NoQuorum].meaning, {code: RESULT_CODE.NoQuorum, outcome: OUTCOME.NotRun, retryAfterMs: NO_QUORUM_RETRY_MS});
+			void this.#releaseUnconfirmed(request, requestId);
+			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.NoQuorum].meaning, {code: RESULT_CODE.NoQuorum, outcome: OUTCOME.NotRun, retryAfterMs: NO_QUORUM_RETRY_AFTER_MS});
 		}
 	}
 
 	/** Releases a claim whose commit was not confirmed, because it may exist although the request never ran. */
-	async #releaseLater(request: RoutedRequest, requestId: string): Promise<void> {
+	async #releaseUnconfirmed(request: RoutedRequest, requestId: string): Promise<void> {
 		try {
 			await this.#parts.claims.release(request, requestId);
 		} catch (error) {
@@ -174,13 +174,13 @@
 	}
 
 	/** Responds to a repeated request from its existing claim. */
-	#answerClaimed(reply: ClaimReply, response: ServerResponse, requestId: string): void {
+	#respondFromClaim(reply: ClaimReply, response: ServerResponse, requestId: string): void {
 		if (reply.kind === 'mismatch') {
 			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.KeyReused].meaning, {code: RESULT_CODE.KeyReused, outcome: OUTCOME.NotRun});
 		}
 
 		if (reply.kind === 'running' && !reply.isOverdue) {
-			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.InProgress].meaning, {code: RESULT_CODE.InProgress, outcome: OUTCOME.Unknown, retryAfterMs: IN_PROGRESS_RETRY_MS});
+			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.InProgress].meaning, {code: RESULT_CODE.InProgress, outcome: OUTCOME.Unknown, retryAfterMs: IN_PROGRESS_RETRY_AFTER_MS});
 		}
 
 		const {settlement} = reply;
@@ -193,14 +193,14 @@
 		writeCompleteResponse(response, {status: settlement.status, contentType: settlement.contentType, body: Buffer.from(settlement.body)}, requestId);
 	}
 
-	async #settle(request: RoutedRequest, response: ServerResponse, requestId: string, answer: CompleteResponse): Promise<void> {
-		await Promise.race([this.#keepAnswer(request, requestId, answer), this.#parts.timers.wait(SETTLE_WAIT_MS)]);
-		writeCompleteResponse(response, answer, requestId);
+	async #deliverOnce(request: RoutedRequest, response: ServerResponse, requestId: string, completeResponse: CompleteResponse): Promise<void> {
+		await Promise.race([this.#storeResponse(request, requestId, completeResponse), this.#parts.timers.wait(SETTLE_TIMEOUT_MS)]);
+		writeCompleteResponse(response, completeResponse, requestId);
 	}
 
-	async #keepAnswer(request: RoutedRequest, requestId: string, answer: CompleteResponse): Promise<void> {
+	async #storeResponse(request: RoutedRequest, requestId: string, completeResponse: CompleteResponse): Promise<void> {
 		try {
-			await this.#parts.claims.settle(request, requestId, answer);
+			await this.#parts.claims.settle(request, requestId, completeResponse);
 		} catch (error) {
 			this.#logUnsettled(requestId, error);
 		}
@@ -211,7 +211,7 @@
 	}
 
 	/** Sends the refusal immediately and settles the claim afterwards. */
-	async #giveBack(request: RoutedRequest, response: ServerResponse, requestId: string, refusal: Refusal): Promise<void> {
+	async #refuseClaimed(request: RoutedRequest, response: ServerResponse, requestId: string, refusal: Refusal): Promise<void> {
 		writeRefusal(response, refusal, requestId);
 		try {
 			await (refusal.outcome === OUTCOME.NotRun ? this.#parts.claims.release(request, requestId) : this.#parts.claims.settleUnknown(request, requestId));
--- a/apps/valelead-daemon/src/entry/intent-follower.ts
+++ b/apps/valelead-daemon/src/entry/intent-follower.ts
@@ -33,11 +33,11 @@
 	applyUpdate(update: SessionUpdate): boolean {
 		const before = this.#intent.revision;
 		if (update.snapshot !== '') {
-			this.#takeSnapshot(update.snapshot);
+			this.#applySnapshot(update.snapshot);
 		}
 
 		for (const {revision, command} of update.commands) {
-			this.#takeCommand(revision, command);
+			this.#applyCommand(revision, command);
 		}
 
 		if (this.#intent.revision === update.revision) {
@@ -49,7 +49,7 @@
 		return this.#intent.revision !== before;
 	}
 
-	#takeSnapshot(snapshot: string): void {
+	#applySnapshot(snapshot: string): void {
 		const intent = decodeIntent(snapshot);
 		if (intent.revision >= this.#intent.revision) {
 			this.#intent = intent;
@@ -57,7 +57,7 @@
 		}
 	}
 
-	#takeCommand(revision: number, command: string): void {
+	#applyCommand(revision: number, command: string): void {
 		if (revision !== this.#intent.revision + 1) {
 			return;
 		}
--- a/apps/valelead-daemon/src/entry/lanes.ts
+++ b/apps/valelead-daemon/src/entry/lanes.ts
@@ -14,10 +14,10 @@
 type LaneStream = ClientDuplexStream<LaneRequest, LaneUpdate>;
 
 /** A lane without waiting requests and attempts is closed after this time, in milliseconds. */
-const IDLE_LANE_MS = 15_000;
+const LANE_IDLE_TIMEOUT_MS = 15_000;
 
 /** The interval between checks for idle lanes, in milliseconds. */
-const REFRESH_MS = 500;
+const IDLE_CHECK_INTERVAL_MS = 500;
 
 const OUTCOME_TIMEOUT_MS = 500;
 
@@ -42,8 +42,8 @@
 		this.#entry = entry;
 		this.#pool = pool;
 		this.#events = events;
-		timers.repeat(REFRESH_MS, now => {
-			this.#refresh(now);
+		timers.repeat(IDLE_CHECK_INTERVAL_MS, now => {
+			this.#closeIdle(now);
 		});
 	}
 
@@ -118,7 +118,7 @@
 		};
 		this.#open.set(vm, lane);
 		stream.on('data', (update: LaneUpdate) => {
-			this.#take(vm, update);
+			this.#handleUpdate(vm, update);
 		});
 		stream.on('error', () => {
 			this.#close(vm, lane);
@@ -129,7 +129,7 @@
 		return lane;
 	}
 
-	#take(vm: string, {credits, frames}: LaneUpdate): void {
+	#handleUpdate(vm: string, {credits, frames}: LaneUpdate): void {
 		if (credits) {
 			this.#events.onCredits(vm, credits.ids, credits.validForMs);
 		}
@@ -149,9 +149,9 @@
 		this.#events.onClosed(vm);
 	}
 
-	#refresh(now: number): void {
+	#closeIdle(now: number): void {
 		for (const [vm, lane] of this.#open) {
-			if (lane.wanted === 0 && lane.attempts.size === 0 && now - lane.usedAt > IDLE_LANE_MS) {
+			if (lane.wanted === 0 && lane.attempts.size === 0 && now - lane.usedAt > LANE_IDLE_TIMEOUT_MS) {
 				this.#close(vm, lane);
 			}
 		}
--- a/apps/valelead-daemon/src/entry/stream-sink.ts
+++ b/apps/valelead-daemon/src/entry/stream-sink.ts
@@ -19,7 +19,7 @@
 	readonly #stallMs: number;
 	/** Holds back an incomplete event, because an error event may follow. Undefined if the response is not an event stream. */
 	#splitter: EventSplitter | undefined;
-	#stall: TimerSubscription | undefined;
+	#stallTimer: TimerSubscription | undefined;
 
 	constructor(response: ServerResponse, requestId: string, timers: TimerService, stallMs: number) {
 		this.#response = response;
@@ -49,7 +49,7 @@
 			return;
 		}
 
-		this.#watchStall();
+		this.#startStallTimer();
 	}
 
 	end(): void {
@@ -65,17 +65,17 @@
 		this.#response.end(`event: error\ndata: ${newRefusalBody(refusal, this.#requestId)}\n\n`);
 	}
 
-	#watchStall(): void {
-		if (this.#stall) {
+	#startStallTimer(): void {
+		if (this.#stallTimer) {
 			return;
 		}
 
-		this.#stall = this.#timers.after(this.#stallMs, () => {
+		this.#stallTimer = this.#timers.after(this.#stallMs, () => {
 			breakOff(this.#response);
 		});
 		this.#response.once('drain', () => {
-			this.#stall?.cancel();
-			this.#stall = undefined;
+			this.#stallTimer?.cancel();
+			this.#stallTimer = undefined;
 		});
 	}
 }
--- a/apps/valelead-daemon/src/logger.ts
+++ b/apps/valelead-daemon/src/logger.ts
@@ -6,14 +6,14 @@
 };
 
 /** The file descriptor of standard output. */
-const OUTPUT = 1;
+const STDOUT_FD = 1;
 
 /** Log lines are written in batches, when this many bytes have accumulated or when the flush interval has passed. */
 const BATCH_BYTES = 4096;
-const FLUSH_MS = 500;
+const FLUSH_INTERVAL_MS = 500;
 
 /** The most bytes buffered for a reader that does not keep up. Further lines are dropped. */
-const MAX_HELD_BYTES = 1_048_576;
+const MAX_BUFFERED_BYTES = 1_048_576;
 
 /**
  * Creates a logger that writes JSON, one event per line. Prompts, responses and keys are never passed to a logger. Lines are written
@@ -21,7 +21,7 @@
  */
 export const newLogger = (level: string, context: LogContext): Logger => {
 	const output = destination({
-		dest: OUTPUT, sync: false, minLength: BATCH_BYTES, maxLength: MAX_HELD_BYTES, periodicFlush: FLUSH_MS,
+		dest: STDOUT_FD, sync: false, minLength: BATCH_BYTES, maxLength: MAX_BUFFERED_BYTES, periodicFlush: FLUSH_INTERVAL_MS,
 	});
 	return pino({level, base: context, timestamp: pino.stdTimeFunctions.isoTime}, output);
 };
--- a/apps/valelead-daemon/src/run-daemon.ts
+++ b/apps/valelead-daemon/src/run-daemon.ts
@@ -61,7 +61,7 @@
 /** Resolves at the first stop signal. A second signal stops the daemon immediately. */
 const waitForStop = (running: Stoppable, logger: Logger): Effect.Effect<void> => Effect.callback<void>(resume => {
 	let signals = 0;
-	const take = (): void => {
+	const handleSignal = (): void => {
 		signals += 1;
 		logger.info({event: 'stop-signal', signals}, 'stop signal');
 		if (signals > 1) {
@@ -72,12 +72,12 @@
 		resume(Effect.void);
 	};
 
-	process.on('SIGTERM', take);
-	process.on('SIGINT', take);
+	process.on('SIGTERM', handleSignal);
+	process.on('SIGINT', handleSignal);
 });
 
 /** Returns the text of the settings file, or an empty string if it cannot be read. The reason is reported when the settings are loaded. */
-const readText = (file: string): string => {
+const readTextOrEmpty = (file: string): string => {
 	try {
 		return readFileSync(file, 'utf8');
 	} catch {
@@ -88,7 +88,7 @@
 /**
  * Checks a changed settings file and applies what can change at run time, such as the controller addresses. The rest takes effect at the next start.
  */
-const takeReload = (file: string, logger: Logger, running: Stoppable | undefined): void => {
+const handleReload = (file: string, logger: Logger, running: Stoppable | undefined): void => {
 	const settings = tryLoadSettings(file, logger);
 	logger.info({event: 'reload', settingsFile: file, isValid: settings !== undefined}, 'settings file reloaded; settings that cannot change at run time take effect at the next start');
 	if (settings) {
@@ -109,7 +109,7 @@
 const newProgram = ({file, text, settings, logger, adapter}: ProgramParts): Effect.Effect<void, unknown> => Effect.scoped(Effect.gen(function * () {
 	const part: {running?: Stoppable} = {};
 	const reload = (): void => {
-		takeReload(file, logger, part.running);
+		handleReload(file, logger, part.running);
 	};
 
 	process.on('SIGHUP', reload);
@@ -133,7 +133,7 @@
 
 /** Runs the daemon with a settings file until it is stopped, then exits the process. */
 export const runDaemon = async (file: string, adapter?: Adapter): Promise<void> => {
-	const text = readText(file);
+	const text = readTextOrEmpty(file);
 	const settings = loadSettingsOrExit(file);
 	const logger = newLogger(settings.logLevel, {vm: settings.vm, role: settings.role});
 	try {
--- a/apps/valelead-daemon/src/session-client.ts
+++ b/apps/valelead-daemon/src/session-client.ts
@@ -28,74 +28,74 @@
 const RECONNECT_MS = 100;
 
 /** A voter is considered silent after this many heartbeat intervals without an update, which is at the second heartbeat after its last update. */
-const SILENT_HEARTBEATS = 1.9;
+const MAX_SILENT_HEARTBEATS = 1.9;
 
 /** A heartbeat timer that fires later than this shows that this process was stalled, in milliseconds. */
 const STALL_MS = 200;
 
 /** A voter that sends no update on a new stream within this time is skipped, in milliseconds. */
-const FIRST_WORD_MS = 700;
+const FIRST_UPDATE_TIMEOUT_MS = 700;
 
 /** The delay before the next report to a voter that names no leader, in milliseconds. */
-const ASK_AGAIN_MS = 150;
+const LEADER_QUERY_INTERVAL_MS = 150;
 
 /**
  * Voters that report that they are outside the quorum are skipped immediately, each once per this period, in milliseconds, which equals a heartbeat
  * interval. The last voter of such a round is then polled like any other voter, because an election may be over soon.
  */
-const ROUND_MS = 500;
+const OUTSIDE_ROUND_MS = 500;
 
 /** A voter that names no leader for this long may itself be partitioned, in milliseconds. The time equals two of its election timeouts. */
-const LEADERLESS_MS = 2000;
+const MAX_LEADERLESS_MS = 2000;
 
 /**
  * For this long after a voter stopped responding, other voters that name it as the leader are ignored, in milliseconds. Another voter may name a dead
  * leader for two election timeouts, 1.4 s, and this process abandons the leader half a second after its death at the earliest. This leaves 0.9 s
  * plus a tick. A longer time would keep this process from a leader that was only suspended.
  */
-const DISTRUST_MS = 1000;
+const IGNORE_SILENT_LEADER_MS = 1000;
 
 /**
  * For this long, a voter that stopped responding is skipped when the list of voters is tried in order, in milliseconds. Elections are over by then,
  * even after some split votes. Trying a dead voter costs the timeout of a first update. Other voters name a voter that has returned as the leader.
  */
-const LEFT_OUT_MS = 5000;
+const SKIP_SILENT_VOTER_MS = 5000;
 
 /** Maintains a session with the leader. Sends a report at each heartbeat and on request, and finds the new leader after a change. */
 export class SessionClient {
 	readonly #parts: SessionParts;
 	#stream: SessionStream | undefined;
-	#heardAt = 0;
-	#beatAt: number;
+	#lastUpdateAt = 0;
+	#lastHeartbeatAt: number;
 	#connectedAt = 0;
 	#address = '';
 	/** When a leader last sent an update in any session. Before the first update, the time when this client was created. */
-	#ledAt: number;
-	#isLed = false;
+	#lastLedAt: number;
+	#hasLeader = false;
 	/** Voters that stopped responding, with the time when each was abandoned. Several may fail at once. */
-	readonly #silent = new Map<string, number>();
+	readonly #silentVoters = new Map<string, number>();
 	/** When the current round through voters outside the quorum began, and how many voters were skipped in it. */
-	#round = {since: Number.NEGATIVE_INFINITY, passed: 0};
+	#outsideRound = {since: Number.NEGATIVE_INFINITY, skippedCount: 0};
 	readonly #reports: Coalescer;
-	readonly #questions: Coalescer;
+	readonly #leaderQueries: Coalescer;
 	#isStopped = false;
 	#heartbeats: TimerSubscription | undefined;
 
 	constructor(parts: SessionParts) {
 		this.#parts = parts;
-		this.#ledAt = parts.clock.now();
-		this.#beatAt = this.#ledAt;
+		this.#lastLedAt = parts.clock.now();
+		this.#lastHeartbeatAt = this.#lastLedAt;
 		this.#reports = new Coalescer(parts.timers, COALESCE_MS, () => {
 			this.#report();
 		});
-		this.#questions = new Coalescer(parts.timers, ASK_AGAIN_MS, () => {
+		this.#leaderQueries = new Coalescer(parts.timers, LEADER_QUERY_INTERVAL_MS, () => {
 			this.#report();
 		});
 	}
 
 	start(): void {
 		this.#heartbeats = this.#parts.timers.repeat(this.#parts.heartbeatMs, now => {
-			this.#beat(now);
+			this.#handleHeartbeat(now);
 		});
 		this.#connect();
 	}
@@ -111,12 +111,12 @@
 		this.#reports.schedule();
 	}
 
-	#beat(now: number): void {
+	#handleHeartbeat(now: number): void {
 		// Updates that arrived while this process was stalled have not been read yet.
-		const wasStalled = now - this.#beatAt > this.#parts.heartbeatMs + STALL_MS;
-		this.#beatAt = now;
-		if (this.#stream && !wasStalled && now - this.#heardAt > this.#parts.heartbeatMs * SILENT_HEARTBEATS) {
-			this.#giveUp(this.#stream, now);
+		const wasStalled = now - this.#lastHeartbeatAt > this.#parts.heartbeatMs + STALL_MS;
+		this.#lastHeartbeatAt = now;
+		if (this.#stream && !wasStalled && now - this.#lastUpdateAt > this.#parts.heartbeatMs * MAX_SILENT_HEARTBEATS) {
+			this.#abandonVoter(this.#stream, now);
 			return;
 		}
 
@@ -124,12 +124,12 @@
 	}
 
 	/** Abandons a voter that does not respond, resets its connection and connects to the next voter. */
-	#giveUp(stream: SessionStream, now: number): void {
-		this.#parts.logger.warn({event: 'leader-silent', address: this.#address, silentMs: Math.round(now - this.#heardAt)}, 'leader does not respond; trying another voter');
-		this.#silent.set(this.#address, now);
+	#abandonVoter(stream: SessionStream, now: number): void {
+		this.#parts.logger.warn({event: 'leader-silent', address: this.#address, silentMs: Math.round(now - this.#lastUpdateAt)}, 'leader does not respond; trying another voter');
+		this.#silentVoters.set(this.#address, now);
 		this.#parts.leader.redirect('');
 		this.#parts.pool.reset(this.#address);
-		this.#leave(stream);
+		this.#cancelStream(stream);
 		this.#connect();
 	}
 
@@ -145,19 +145,19 @@
 		}
 
 		const {leader, pool, timers, clock} = this.#parts;
-		this.#passOverSilent();
+		this.#skipSilentVoters();
 		const {address} = leader;
 		const stream = pool.get(address).bidiStream(Control.method.session);
 		this.#stream = stream;
 		this.#address = address;
 		this.#connectedAt = clock.now();
-		this.#heardAt = this.#connectedAt;
-		this.#isLed = false;
-		let isHeard = false;
+		this.#lastUpdateAt = this.#connectedAt;
+		this.#hasLeader = false;
+		let hasUpdate = false;
 		stream.on('data', (update: SessionUpdate) => {
-			isHeard = true;
+			hasUpdate = true;
 			if (stream === this.#stream) {
-				this.#take(stream, address, update);
+				this.#handleUpdate(stream, address, update);
 			}
 		});
 		stream.on('error', () => {
@@ -171,100 +171,100 @@
 			this.#reconnect(stream);
 		});
 		this.#report(true);
-		const giveUpUnheard = (dueAt: number) => (now: number): void => {
-			if (isHeard || stream !== this.#stream) {
+		const abandonIfSilent = (dueAt: number) => (now: number): void => {
+			if (hasUpdate || stream !== this.#stream) {
 				return;
 			}
 
 			if (now > dueAt + STALL_MS) {
-				timers.after(FIRST_WORD_MS, giveUpUnheard(now + FIRST_WORD_MS));
+				timers.after(FIRST_UPDATE_TIMEOUT_MS, abandonIfSilent(now + FIRST_UPDATE_TIMEOUT_MS));
 			} else {
-				this.#giveUp(stream, now);
+				this.#abandonVoter(stream, now);
 			}
 		};
 
-		timers.after(FIRST_WORD_MS, giveUpUnheard(this.#connectedAt + FIRST_WORD_MS));
+		timers.after(FIRST_UPDATE_TIMEOUT_MS, abandonIfSilent(this.#connectedAt + FIRST_UPDATE_TIMEOUT_MS));
 	}
 
 	/** Advances in the list to the next voter that has not recently been silent, if there is one. */
-	#passOverSilent(): void {
+	#skipSilentVoters(): void {
 		const {leader, clock} = this.#parts;
 		if (leader.isNamed) {
 			return;
 		}
 
 		const now = clock.now();
-		for (let tried = 0; tried < leader.count && this.#wasSilent(leader.address, now); tried += 1) {
+		for (let skipped = 0; skipped < leader.count && this.#wasRecentlySilent(leader.address, now); skipped += 1) {
 			leader.redirect('');
 		}
 	}
 
-	#wasSilent(address: string, now: number, withinMs = LEFT_OUT_MS): boolean {
-		return now - (this.#silent.get(address) ?? Number.NEGATIVE_INFINITY) < withinMs;
+	#wasRecentlySilent(address: string, now: number, withinMs = SKIP_SILENT_VOTER_MS): boolean {
+		return now - (this.#silentVoters.get(address) ?? Number.NEGATIVE_INFINITY) < withinMs;
 	}
 
-	#take(stream: SessionStream, address: string, update: SessionUpdate): void {
+	#handleUpdate(stream: SessionStream, address: string, update: SessionUpdate): void {
 		const now = this.#parts.clock.now();
-		this.#heardAt = now;
-		this.#silent.delete(address);
-		const hasNews = update.routing !== undefined || update.quarantine !== undefined;
-		if (update.isCurrent || hasNews) {
+		this.#lastUpdateAt = now;
+		this.#silentVoters.delete(address);
+		const hasChanges = update.routing !== undefined || update.quarantine !== undefined;
+		if (update.isCurrent || hasChanges) {
 			this.#parts.onUpdate(update);
 		}
 
 		if (update.isCurrent) {
-			this.#noteLed(now);
+			this.#noteLeader(now);
 			return;
 		}
 
 		const {leaderAddress} = update;
-		if (leaderAddress !== '' && leaderAddress !== address && !this.#wasSilent(leaderAddress, now, DISTRUST_MS)) {
+		if (leaderAddress !== '' && leaderAddress !== address && !this.#wasRecentlySilent(leaderAddress, now, IGNORE_SILENT_LEADER_MS)) {
 			this.#parts.leader.redirect(leaderAddress);
-			this.#leave(stream);
+			this.#cancelStream(stream);
 			this.#connect();
 			return;
 		}
 
-		if (update.isOutside && leaderAddress === '' && this.#mayPassOver(now)) {
+		if (update.isOutside && leaderAddress === '' && this.#isSkippable(now)) {
 			this.#parts.leader.redirect('');
-			this.#leave(stream);
+			this.#cancelStream(stream);
 			this.#connect();
 			return;
 		}
 
-		if (now - this.#connectedAt > LEADERLESS_MS) {
+		if (now - this.#connectedAt > MAX_LEADERLESS_MS) {
 			this.#parts.leader.redirect('');
 			this.#reconnect(stream);
 			return;
 		}
 
 		// A voter that names no leader is sent reports until it names one.
-		this.#questions.schedule();
+		this.#leaderQueries.schedule();
 	}
 
-	#noteLed(now: number): void {
-		if (!this.#isLed) {
-			this.#isLed = true;
-			this.#parts.logger.info({event: 'leader-followed', address: this.#address, leaderlessMs: Math.round(now - this.#ledAt)}, 'established a session with the leader');
+	#noteLeader(now: number): void {
+		if (!this.#hasLeader) {
+			this.#hasLeader = true;
+			this.#parts.logger.info({event: 'leader-followed', address: this.#address, leaderlessMs: Math.round(now - this.#lastLedAt)}, 'established a session with the leader');
 		}
 
-		this.#ledAt = now;
+		this.#lastLedAt = now;
 	}
 
 	/**
 	 * Counts a voter outside the quorum in the current or a new round. Returns true if the voter is to be skipped, false if it is the last of the
 	 * round.
 	 */
-	#mayPassOver(now: number): boolean {
-		if (now - this.#round.since > ROUND_MS) {
-			this.#round = {since: now, passed: 0};
+	#isSkippable(now: number): boolean {
+		if (now - this.#outsideRound.since > OUTSIDE_ROUND_MS) {
+			this.#outsideRound = {since: now, skippedCount: 0};
 		}
 
-		this.#round.passed += 1;
-		return this.#round.passed < this.#parts.leader.count;
+		this.#outsideRound.skippedCount += 1;
+		return this.#outsideRound.skippedCount < this.#parts.leader.count;
 	}
 
-	#leave(stream: SessionStream): void {
+	#cancelStream(stream: SessionStream): void {
 		this.#stream = undefined;
 		stream.cancel();
 	}
@@ -274,7 +274,7 @@
 			return;
 		}
 
-		this.#leave(stream);
+		this.#cancelStream(stream);
 		this.#parts.timers.after(RECONNECT_MS, () => {
 			this.#connect();
 		});
--- a/apps/valelead-daemon/src/settings/check-settings.ts
+++ b/apps/valelead-daemon/src/settings/check-settings.ts
@@ -5,7 +5,7 @@
 import type {Settings} from './settings.js';
 import type {SettingsFault} from './settings-fault.js';
 
-type Checked = {
+type SettingsCheck = {
 	readonly settings: Settings | undefined;
 	readonly faults: readonly SettingsFault[];
 };
@@ -13,7 +13,7 @@
 const decode = Schema.decodeUnknownResult(SETTINGS_SCHEMA);
 const formatIssue = SchemaIssue.makeFormatterStandardSchemaV1();
 
-const getFound = (value: unknown, path: readonly PropertyKey[]): string => {
+const getValueText = (value: unknown, path: readonly PropertyKey[]): string => {
 	let found: unknown = value;
 	for (const key of path) {
 		found = typeof found === 'object' && found !== null ? (found as Record<PropertyKey, unknown>)[key] : undefined;
@@ -27,7 +27,7 @@
 const newFault = (path: string, found: string, allowed: string): SettingsFault => ({path, found, allowed});
 
 /** Returns violations of conditions between several values, which the schema cannot express. */
-const getContradictions = (settings: Settings): SettingsFault[] => {
+const getCrossFieldFaults = (settings: Settings): SettingsFault[] => {
 	if (settings.role !== 'entry' || !settings.voter) {
 		return [];
 	}
@@ -53,13 +53,13 @@
 
 /** Checks the role first, because it selects the schema for all other settings. */
 const getRoleFault = (value: unknown): SettingsFault | undefined => {
-	const found = getFound(value, ['role']);
+	const found = getValueText(value, ['role']);
 	const isKnown = ROLES.some(role => JSON.stringify(role) === found);
 	return isKnown ? undefined : newFault('role', found, ROLES.map(role => JSON.stringify(role)).join(' | '));
 };
 
 /** Checks the parsed value of a settings file and returns the settings or all faults. */
-export const checkSettings = (value: unknown): Checked => {
+export const checkSettings = (value: unknown): SettingsCheck => {
 	const roleFault = getRoleFault(value);
 	if (roleFault) {
 		return {settings: undefined, faults: [roleFault]};
@@ -67,13 +67,13 @@
 
 	const result = decode(value, {errors: 'all', onExcessProperty: 'error'});
 	if (Result.isSuccess(result)) {
-		const faults = getContradictions(result.success);
+		const faults = getCrossFieldFaults(result.success);
 		return {settings: faults.length === 0 ? result.success : undefined, faults};
 	}
 
 	const faults = formatIssue(result.failure.issue).issues.map(issue => {
 		const path = toKeys(issue.path);
-		return newFault(path.map(String).join('.'), getFound(value, path), issue.message);
+		return newFault(path.map(String).join('.'), getValueText(value, path), issue.message);
 	});
 	return {settings: undefined, faults};
 };
--- a/apps/valelead-daemon/src/settings/settings-file-watch.ts
+++ b/apps/valelead-daemon/src/settings/settings-file-watch.ts
@@ -14,14 +14,14 @@
 /**
  * The interval between reads of the file, in milliseconds. Processes that start with changed settings take some seconds before they contact this one.
  */
-const CHECK_MS = 1000;
+const CHECK_INTERVAL_MS = 1000;
 
 /** Detects changes of the settings file by polling, because an operator or tool may change the file without sending a signal. */
 export class SettingsFileWatch {
 	readonly #parts: WatchParts;
 	#text: string;
 	#isReadable = true;
-	#checks: TimerSubscription | undefined;
+	#checkTimer: TimerSubscription | undefined;
 
 	constructor(parts: WatchParts) {
 		this.#parts = parts;
@@ -29,13 +29,13 @@
 	}
 
 	start(): void {
-		this.#checks = this.#parts.timers.repeat(CHECK_MS, () => {
+		this.#checkTimer = this.#parts.timers.repeat(CHECK_INTERVAL_MS, () => {
 			this.#check();
 		});
 	}
 
 	stop(): void {
-		this.#checks?.cancel();
+		this.#checkTimer?.cancel();
 	}
 
 	#check(): void {
--- a/apps/valelead-daemon/src/settings/settings-schema.ts
+++ b/apps/valelead-daemon/src/settings/settings-schema.ts
@@ -9,12 +9,12 @@
 const NAME = Schema.String.check(Schema.isPattern(/^[a-z\d][\w.\-]{0,62}$/v));
 const LISTEN = Schema.Struct({host: Schema.String, port: PORT});
 
-const getMilliseconds = (value: number, description: string) => Schema.Int
+const newMillisecondsSchema = (value: number, description: string) => Schema.Int
 	.check(Schema.isBetween({minimum: 1, maximum: MAX_MS}))
 	.annotate({description: `${description} In milliseconds.`})
 	.pipe(Schema.withDecodingDefaultKey(Effect.succeed(value)));
 
-const getNumber = (value: number, description: string) => Schema.Finite
+const newNumberSchema = (value: number, description: string) => Schema.Finite
 	.check(Schema.isBetween({minimum: 0, maximum: Number.MAX_SAFE_INTEGER}))
 	.annotate({description})
 	.pipe(Schema.withDecodingDefaultKey(Effect.succeed(value)));
@@ -35,108 +35,108 @@
 
 const LISTEN_HOST = Schema.optionalKey(Schema.String.annotate({description: 'The IP number to listen at where it differs from `host`, as behind an address translation.'}));
 
-const SHARED = {
+const COMMON_SETTINGS = {
 	vm: NAME.annotate({description: 'The name of the VM, one in the installation.'}),
 	dataCentre: NAME,
 	admin: LISTEN.annotate({description: 'Where /healthz, /readyz and /metrics are served.'}),
 	tls: Schema.optionalKey(TLS),
 	logLevel: Schema.Literals(['debug', 'info', 'warn', 'error']).pipe(Schema.withDecodingDefaultKey(Effect.succeed('info' as const))),
-	heartbeatMs: getMilliseconds(250, 'How often the process reports to the leader.'),
-	maxConfigurationAgeMs: getMilliseconds(10_000, 'Cut off from the leader for longer, the process takes no new work.'),
-	stopLimitMs: getMilliseconds(30_000, 'How long a planned stop waits for requests in progress.'),
+	heartbeatMs: newMillisecondsSchema(250, 'How often the process reports to the leader.'),
+	maxConfigurationAgeMs: newMillisecondsSchema(10_000, 'Cut off from the leader for longer, the process takes no new work.'),
+	stopLimitMs: newMillisecondsSchema(30_000, 'How long a planned stop waits for requests in progress.'),
 };
 
 const POLICY = Schema.Struct({
-	coldStartWeight: getNumber(1, 'Cost of one second that one request of weight 1 waits for a cold model.'),
-	idleWeight: getNumber(0.01, 'Cost of one second that one accelerator holds weights without work.'),
-	loadsPerSecond: getNumber(3, 'Loads from the weight store that may start in a second.'),
-	concurrentLoads: getNumber(4, 'Loads from the weight store that may run at once.'),
-	assumedLoadMsPerGib: getNumber(500, 'Load time for each GiB until one was measured. In milliseconds.'),
+	coldStartWeight: newNumberSchema(1, 'Cost of one second that one request of weight 1 waits for a cold model.'),
+	idleWeight: newNumberSchema(0.01, 'Cost of one second that one accelerator holds weights without work.'),
+	loadsPerSecond: newNumberSchema(3, 'Loads from the weight store that may start in a second.'),
+	concurrentLoads: newNumberSchema(4, 'Loads from the weight store that may run at once.'),
+	assumedLoadMsPerGib: newNumberSchema(500, 'Load time for each GiB until one was measured. In milliseconds.'),
 });
 
 const VOTER = Schema.Struct({
 	listen: ADDRESS,
 	dataFolder: Schema.String,
 	faultTolerance: FAULT_TOLERANCE,
-	electionTimeoutMs: getMilliseconds(500, 'The shortest election timeout; the longest is twice this.'),
-	consensusHeartbeatMs: getMilliseconds(100, 'How often a leader sends to the other voters.'),
-	snapshotEvery: getNumber(5000, 'Log entries after which a snapshot is taken.'),
-	leaseMs: getMilliseconds(2000, 'A VM or entry that is silent for longer gets no new work.'),
-	assumeLostMs: getNumber(0, 'A VM that is silent for longer is taken as gone and its replicas as free; 0 waits for proof. In milliseconds.'),
+	electionTimeoutMs: newMillisecondsSchema(500, 'The shortest election timeout; the longest is twice this.'),
+	consensusHeartbeatMs: newMillisecondsSchema(100, 'How often a leader sends to the other voters.'),
+	snapshotEvery: newNumberSchema(5000, 'Log entries after which a snapshot is taken.'),
+	leaseMs: newMillisecondsSchema(2000, 'A VM or entry that is silent for longer gets no new work.'),
+	assumeLostMs: newNumberSchema(0, 'A VM that is silent for longer is taken as gone and its replicas as free; 0 waits for proof. In milliseconds.'),
 	policy: POLICY,
 });
 
 const ENTRY = Schema.Struct({
 	role: Schema.Literal('entry'),
-	...SHARED,
+	...COMMON_SETTINGS,
 	http: LISTEN.annotate({description: 'Where callers are served.'}),
 	controlAddresses: Schema.Array(ADDRESS).annotate({description: 'The voters, at the addresses where they listen.'}),
 	operatorKeyFile: Schema.optionalKey(Schema.String.annotate({description: 'A file with the first operator key, needed until one is created.'})),
 	voter: Schema.optionalKey(VOTER),
-	maxBodyBytes: getNumber(1_048_576, 'The largest body of a request.'),
-	maxAnswerBytes: getNumber(16_777_216, 'The largest answer that is not streamed.'),
-	maxConnections: getNumber(2000, 'Connections of callers at once.'),
-	streamStallMs: getMilliseconds(30_000, 'A caller that takes nothing of its stream for longer is cut off.'),
-	balancerDelayMs: getMilliseconds(500, 'After a stop signal, how long connections are still taken while /readyz fails.'),
+	maxBodyBytes: newNumberSchema(1_048_576, 'The largest body of a request.'),
+	maxAnswerBytes: newNumberSchema(16_777_216, 'The largest answer that is not streamed.'),
+	maxConnections: newNumberSchema(2000, 'Connections of callers at once.'),
+	streamStallMs: newMillisecondsSchema(30_000, 'A caller that takes nothing of its stream for longer is cut off.'),
+	balancerDelayMs: newMillisecondsSchema(500, 'After a stop signal, how long connections are still taken while /readyz fails.'),
 });
 
 const AGENT = Schema.Struct({
 	role: Schema.Literal('agent'),
-	...SHARED,
+	...COMMON_SETTINGS,
 	listen: ADDRESS.annotate({description: 'Where entries reach this agent.'}),
 	guardPort: PORT.annotate({description: 'A port of the VM that the agent holds while it runs, so that no second one starts.'}),
 	upstream: LISTEN.annotate({description: 'Where the upstream of this VM is reached.'}),
 	controlAddresses: Schema.Array(ADDRESS),
-	creditMs: getMilliseconds(2000, 'How long a credit to dispatch is valid.'),
-	spareCredits: getNumber(4, 'Credits that an active entry holds in advance.'),
-	replicaLeaseMs: getMilliseconds(60_000, 'Cut off from the leader for longer, the agent unloads its replicas.'),
-	settleMs: getMilliseconds(1000, 'Time after which a lost order can no longer reach the upstream.'),
-	loadRetryMs: getMilliseconds(1000, 'Wait before a refused load is ordered again.'),
-	orderTimeoutMs: getMilliseconds(600_000, 'The longest time of a load.'),
-	statusMs: getMilliseconds(250, 'How often the upstream is asked for its status.'),
+	creditMs: newMillisecondsSchema(2000, 'How long a credit to dispatch is valid.'),
+	spareCredits: newNumberSchema(4, 'Credits that an active entry holds in advance.'),
+	replicaLeaseMs: newMillisecondsSchema(60_000, 'Cut off from the leader for longer, the agent unloads its replicas.'),
+	settleMs: newMillisecondsSchema(1000, 'Time after which a lost order can no longer reach the upstream.'),
+	loadRetryMs: newMillisecondsSchema(1000, 'Wait before a refused load is ordered again.'),
+	orderTimeoutMs: newMillisecondsSchema(600_000, 'The longest time of a load.'),
+	statusMs: newMillisecondsSchema(250, 'How often the upstream is asked for its status.'),
 });
 
-const FOLLOWER = {
-	vm: SHARED.vm,
-	dataCentre: SHARED.dataCentre,
-	admin: SHARED.admin,
-	logLevel: SHARED.logLevel,
-	tls: SHARED.tls,
-	heartbeatMs: getMilliseconds(500, 'How often the process reports to the leader.'),
+const FOLLOWER_SETTINGS = {
+	vm: COMMON_SETTINGS.vm,
+	dataCentre: COMMON_SETTINGS.dataCentre,
+	admin: COMMON_SETTINGS.admin,
+	logLevel: COMMON_SETTINGS.logLevel,
+	tls: COMMON_SETTINGS.tls,
+	heartbeatMs: newMillisecondsSchema(500, 'How often the process reports to the leader.'),
 	controlAddresses: Schema.Array(ADDRESS).annotate({description: 'Control interfaces of some controllers, to find the others.'}),
 	peerPort: PORT.annotate({description: 'The port at which the processes of the installation reach a controller, on every VM.'}),
 	sidecarPort: PORT.annotate({description: 'The port at which gateways reach the sidecar of an engine, on every VM.'}),
-	graceSeconds: getNumber(30, 'Time between the stop signal and the end that the platform forces. In seconds.'),
+	graceSeconds: newNumberSchema(30, 'Time between the stop signal and the end that the platform forces. In seconds.'),
 };
 
 const GATEWAY = Schema.Struct({
 	role: Schema.Literal('gateway'),
-	...FOLLOWER,
+	...FOLLOWER_SETTINGS,
 	host: Schema.String.annotate({description: 'The IP number at which other gateways reach this process, on `sidecarPort`, for engines that it gives orders to.'}),
 	listenHost: LISTEN_HOST,
-	concurrentStoreLoads: getNumber(4, 'Idle engines that fetch models from the weight store at once, over the installation.'),
+	concurrentStoreLoads: newNumberSchema(4, 'Idle engines that fetch models from the weight store at once, over the installation.'),
 	http: ADDRESS.annotate({description: 'Where callers are served.'}),
 	readiness: ADDRESS.annotate({description: 'Where the balancer asks for readiness.'}),
-	retryRatio: getNumber(0.1, 'Retries that each request earns for its service.'),
-	retryReserve: getNumber(20, 'Retries that all gateways together may send beyond the earned ones, for each service.'),
-	retryWindowSeconds: getNumber(10, 'The span of time in which the retries to a service are counted, in seconds.'),
-	announceMs: getMilliseconds(2000, 'How often upstreams announce themselves.'),
-	revokeMs: getNumber(0, 'A key that was taken away is of no use this long after the acknowledgement: a process that is cut off refuses all keys. 0 for no such promise. In milliseconds.'),
+	retryRatio: newNumberSchema(0.1, 'Retries that each request earns for its service.'),
+	retryReserve: newNumberSchema(20, 'Retries that all gateways together may send beyond the earned ones, for each service.'),
+	retryWindowSeconds: newNumberSchema(10, 'The span of time in which the retries to a service are counted, in seconds.'),
+	announceMs: newMillisecondsSchema(2000, 'How often upstreams announce themselves.'),
+	revokeMs: newNumberSchema(0, 'A key that was taken away is of no use this long after the acknowledgement: a process that is cut off refuses all keys. 0 for no such promise. In milliseconds.'),
 });
 
 const SIDECAR = Schema.Struct({
 	role: Schema.Literal('sidecar'),
-	...FOLLOWER,
+	...FOLLOWER_SETTINGS,
 	host: Schema.String.annotate({description: 'The IP number at which gateways reach this process.'}),
 	listenHost: LISTEN_HOST,
 	engine: ADDRESS.annotate({description: 'Where the engine of this VM is reached.'}),
 	service: Schema.String.annotate({description: 'The service that the engine belongs to.'}),
-	concurrentStoreLoads: getNumber(4, 'Idle engines that fetch models from the weight store at once, over the installation.'),
+	concurrentStoreLoads: newNumberSchema(4, 'Idle engines that fetch models from the weight store at once, over the installation.'),
 });
 
 const CONTROLLER = Schema.Struct({
 	role: Schema.Literal('controller'),
-	...FOLLOWER,
+	...FOLLOWER_SETTINGS,
 	host: Schema.String.annotate({description: 'The IP number at which the installation reaches this process.'}),
 	listenHost: LISTEN_HOST,
 	control: ADDRESS.annotate({description: 'Where operators and upstreams reach the control interface.'}),
@@ -144,14 +144,14 @@
 	dataFolder: Schema.optionalKey(Schema.String.annotate({description: 'Left out on a VM without a disk: the controller then has no vote and sends callers to the leader.'})),
 	faultTolerance: FAULT_TOLERANCE,
 	mayForm: Schema.Boolean.annotate({description: 'Whether this is the first start of the installation; only then a quorum is formed.'}),
-	announceMs: getMilliseconds(2000, 'How often upstreams announce themselves.'),
-	electionTimeoutMs: getMilliseconds(700, 'The shortest election timeout; the longest is twice this.'),
-	consensusHeartbeatMs: getMilliseconds(200, 'How often a leader sends to the other voters.'),
-	snapshotEvery: getNumber(50, 'Log entries after which a snapshot is taken; each may hold a whole configuration.'),
-	quotaWindowSeconds: getNumber(10, 'The span over which use of a team\'s quota is counted. In seconds.'),
-	quotaOvershoot: getNumber(0, 'The share of what a quota allows in such a span that all gateways together may let through beyond it.'),
-	quotaSlack: getNumber(0, 'Units of a quota that may come on top of that.'),
-	orderGapMs: getMilliseconds(3000, 'Between the last order of one process to an engine without a sidecar and the first of the next one.'),
+	announceMs: newMillisecondsSchema(2000, 'How often upstreams announce themselves.'),
+	electionTimeoutMs: newMillisecondsSchema(700, 'The shortest election timeout; the longest is twice this.'),
+	consensusHeartbeatMs: newMillisecondsSchema(200, 'How often a leader sends to the other voters.'),
+	snapshotEvery: newNumberSchema(50, 'Log entries after which a snapshot is taken; each may hold a whole configuration.'),
+	quotaWindowSeconds: newNumberSchema(10, 'The span over which use of a team\'s quota is counted. In seconds.'),
+	quotaOvershoot: newNumberSchema(0, 'The share of what a quota allows in such a span that all gateways together may let through beyond it.'),
+	quotaSlack: newNumberSchema(0, 'Units of a quota that may come on top of that.'),
+	orderGapMs: newMillisecondsSchema(3000, 'Between the last order of one process to an engine without a sidecar and the first of the next one.'),
 });
 
 /** The schema of the settings file of a daemon. The property `role` selects the settings that apply. */
