--- a/apps/valelead-daemon/src/agent/agent.ts
+++ b/apps/valelead-daemon/src/agent/agent.ts
@@ -81,6 +81,7 @@
 		return decision;
 	}
 
+	/** Applies an update of the leader: new orders, or a confirmation of the current ones. */
 	applyUpdate(update: SessionUpdate): void {
 		if (!update.orders) {
 			this.handleEvent({kind: 'confirmed', requestedAt: update.sentAt});
@@ -91,10 +92,15 @@
 		this.handleEvent({kind: 'orders', orders: {revision, isDrained, grants}, requestedAt: update.sentAt});
 	}
 
+	/**
+	 * Returns the outcome of an attempt whose response was lost. If the attempt was never accepted, its credit is withdrawn, so that a dispatch that
+	 * arrives late is refused.
+	 */
 	withdraw(attemptId: string, creditId: string): string {
 		return mutateWithdrawn(this.#state, attemptId, creditId);
 	}
 
+	/** Creates the report of this agent to the leader. */
 	newReport(sentAt: number): SessionReport {
 		const {settings} = this.#parts;
 		const {status} = this.#state;
--- a/apps/valelead-daemon/src/agent/lane-writer.ts
+++ b/apps/valelead-daemon/src/agent/lane-writer.ts
@@ -25,6 +25,7 @@
 		}
 	}
 
+	/** Adds credits to grant to the entry, each valid for `validForMs` milliseconds. */
 	addCredits(ids: readonly string[], validForMs: number): void {
 		this.#credits.push(...ids);
 		this.#validForMs = validForMs;
--- a/apps/valelead-daemon/src/entry/dispatcher.ts
+++ b/apps/valelead-daemon/src/entry/dispatcher.ts
@@ -65,14 +65,17 @@
 		});
 	}
 
+	/** Number of requests that have not ended, including those that are waiting. */
 	get inProgress(): number {
 		return this.#exchanges.size;
 	}
 
+	/** Number of requests that are waiting in queues. */
 	get waiting(): number {
 		return [...this.#state.queues.values()].reduce((sum, queue) => sum + queue.length, 0);
 	}
 
+	/** Returns true if some VM can currently serve the target. */
 	hasEndpoint(target: string): boolean {
 		return (this.#state.endpoints.get(target)?.length ?? 0) > 0;
 	}
@@ -82,6 +85,7 @@
 		return mutateTargetDemands(this.#state, this.#parts.clock.now());
 	}
 
+	/** Submits a request that has arrived to admission control. */
 	submit(exchange: Exchange): void {
 		const {request, requestId, arrivedAt} = exchange;
 		const intent = this.#parts.getIntent();
@@ -127,6 +131,7 @@
 		this.#finish(exchange, RESULT_CODE.ClientClosed);
 	}
 
+	/** Refuses all requests that are waiting in queues. */
 	refuseWaiting(code: ResultCodeValue): void {
 		this.#handleEvent({kind: 'refuseAll', code});
 	}
@@ -151,6 +156,7 @@
 		}
 	}
 
+	/** Applies changed endpoints of agents and the number of entries, among which the limits of teams and classes are divided. */
 	updateEndpoints(changed: readonly Endpoint[], entryCount: number): void {
 		this.#entryCount = Math.max(1, entryCount);
 		if (changed.length === 0) {
--- a/apps/valelead-daemon/src/entry/entry.ts
+++ b/apps/valelead-daemon/src/entry/entry.ts
@@ -32,7 +32,7 @@
 const IDLE_POLL_INTERVAL_MS = 20;
 const MS_PER_SECOND = 1000;
 
-/** A gateway of the role entry. Follows the configuration of the leader, receives requests of callers and dispatches them to agents. */
+/** Runs the role entry: follows the configuration of the leader, receives requests of callers and dispatches them to agents. */
 export class Entry implements Stoppable {
 	readonly #parts: EntryParts;
 	readonly #follower = new IntentFollower(SYSTEM_CLOCK);
@@ -126,7 +126,7 @@
 			logger,
 			maxBodyBytes: settings.maxBodyBytes,
 			streamStallMs: settings.streamStallMs,
-			getClosedCode: () => this.#getClosedCode(),
+			getRefusalCode: () => this.#getRefusalCode(),
 		});
 	}
 
@@ -176,18 +176,18 @@
 	 * Returns the result code with which all requests are refused, or undefined. A stopping entry still accepts requests that end in time; admission
 	 * refuses the others.
 	 */
-	#getClosedCode(): ResultCodeValue | undefined {
+	#getRefusalCode(): ResultCodeValue | undefined {
 		const isTooOld = this.#follower.ageMs > this.#parts.settings.maxConfigurationAgeMs;
 		return isTooOld ? RESULT_CODE.ConfigurationTooOld : undefined;
 	}
 
 	#getUnreadyReason(): string | undefined {
-		const code = this.#endsAt === undefined ? this.#getClosedCode() : RESULT_CODE.Draining;
+		const code = this.#endsAt === undefined ? this.#getRefusalCode() : RESULT_CODE.Draining;
 		return code === undefined ? undefined : RESULT_DETAILS[code].name;
 	}
 
 	#refuseIfPartitioned(): void {
-		if (this.#getClosedCode() === RESULT_CODE.ConfigurationTooOld) {
+		if (this.#getRefusalCode() === RESULT_CODE.ConfigurationTooOld) {
 			this.#dispatcher.refuseWaiting(RESULT_CODE.ConfigurationTooOld);
 		}
 	}
--- a/apps/valelead-daemon/src/entry/exchange-recorder.ts
+++ b/apps/valelead-daemon/src/entry/exchange-recorder.ts
@@ -19,6 +19,7 @@
 		this.#clock = clock;
 	}
 
+	/** Records the queue wait of an exchange at its first dispatch. */
 	noteDispatch(exchange: Exchange): void {
 		if (exchange.dispatchedAt === undefined) {
 			exchange.dispatchedAt = this.#clock.now();
@@ -26,6 +27,7 @@
 		}
 	}
 
+	/** Records the time to the first chunk of a response, or the time between two chunks of a stream. */
 	noteData(exchange: Exchange): void {
 		const now = this.#clock.now();
 		const labels = this.#getLabels(exchange);
@@ -39,6 +41,7 @@
 		exchange.lastChunkAt = now;
 	}
 
+	/** Records the duration and the result of an exchange that has ended. */
 	noteEnd(exchange: Exchange, code: ResultCodeValue): void {
 		const labels = this.#getLabels(exchange);
 		this.#metrics.duration.observe(labels, this.#getSecondsSince(exchange.arrivedAt));
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -34,7 +34,7 @@
 	readonly maxBodyBytes: number;
 	readonly streamStallMs: number;
 	/** Returns the result code with which new requests are refused, or undefined if they are accepted. */
-	readonly getClosedCode: () => ResultCodeValue | undefined;
+	readonly getRefusalCode: () => ResultCodeValue | undefined;
 };
 
 /** The time after the deadline of its class at which an unsettled claim is overdue, in milliseconds. */
@@ -81,9 +81,9 @@
 	}
 
 	async #handle(message: IncomingMessage, response: ServerResponse, requestId: string): Promise<void> {
-		const closedCode = this.#parts.getClosedCode();
-		if (closedCode !== undefined) {
-			throw new ValeleadError(RESULT_DETAILS[closedCode].meaning, {code: closedCode, outcome: OUTCOME.NotRun, retryAfterMs: 1000});
+		const refusalCode = this.#parts.getRefusalCode();
+		if (refusalCode !== undefined) {
+			throw new ValeleadError(RESULT_DETAILS[refusalCode].meaning, {code: refusalCode, outcome: OUTCOME.NotRun, retryAfterMs: 1000});
 		}
 
 		const {intent} = this.#parts.follower;
--- a/apps/valelead-daemon/src/run-daemon.ts
+++ b/apps/valelead-daemon/src/run-daemon.ts
@@ -90,7 +90,7 @@
  */
 const handleReload = (file: string, logger: Logger, running: Stoppable | undefined): void => {
 	const settings = tryLoadSettings(file, logger);
-	logger.info({event: 'reload', settingsFile: file, isValid: settings !== undefined}, 'settings file reloaded; settings that cannot change at run time take effect at the next start');
+	logger.info({event: 'reload', settingsFile: file, isValid: settings !== undefined}, 'settings file read again; settings that cannot change at run time take effect at the next start');
 	if (settings) {
 		running?.reload?.(settings);
 	}
