--- a/apps/valelead-daemon/src/admin-server.ts
+++ b/apps/valelead-daemon/src/admin-server.ts
@@ -6,21 +6,21 @@
 	readonly host: string;
 	readonly port: number;
 	readonly metrics: Metrics;
-	/** Why the process takes no new work, or undefined if it does. */
+	/** Returns the reason why the process accepts no new work, or undefined if it accepts work. */
 	readonly getUnreadyReason: () => string | undefined;
 	readonly refreshMetrics: () => void;
 };
 
-const answer = (response: ServerResponse, status: number, text: string): void => {
+const respond = (response: ServerResponse, status: number, text: string): void => {
 	response.writeHead(status, {'content-type': 'text/plain; charset=utf-8'});
 	response.end(text);
 };
 
 const writeMetrics = async (metrics: Metrics, response: ServerResponse): Promise<void> => {
-	answer(response, 200, await metrics.registry.metrics());
+	respond(response, 200, await metrics.registry.metrics());
 };
 
-/** Serves the platform: health, readiness and metrics, apart from the callers' port. */
+/** Serves health, readiness and metrics to the platform, on a port separate from the one that callers use. */
 export const startAdminServer = async (parts: AdminParts): Promise<Server> => {
 	const server = createServer((request, response) => {
 		if (request.url === '/metrics') {
@@ -30,12 +30,12 @@
 		}
 
 		if (request.url === '/healthz') {
-			answer(response, 200, 'ok\n');
+			respond(response, 200, 'ok\n');
 			return;
 		}
 
 		const reason = request.url === '/readyz' ? parts.getUnreadyReason() : 'no such path';
-		answer(response, reason === undefined ? 200 : 503, `${reason ?? 'ok'}\n`);
+		respond(response, reason === undefined ? 200 : 503, `${reason ?? 'ok'}\n`);
 	});
 	server.listen(parts.port, parts.host);
 	await once(server, 'listening');
--- a/apps/valelead-daemon/src/agent/agent.ts
+++ b/apps/valelead-daemon/src/agent/agent.ts
@@ -21,23 +21,23 @@
 
 type AgentListener = {
 	readonly onCredits: (entry: string, creditIds: readonly string[]) => void;
-	/** The leader should hear of a change at once. */
+	/** Called when a change should be reported to the leader immediately. */
 	readonly onReport: () => void;
 };
 
-/** What was decided on a dispatch. */
+/** The decision to accept or refuse a dispatch. */
 type DispatchDecision = Extract<AgentEffect, {kind: 'accept' | 'refuse'}>;
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 
-/** Runs the decisions of one agent: feeds them with events and carries out their orders. */
+/** Runs the state machine of the agent of one upstream. Passes events to it and applies the resulting effects, such as loads and unloads. */
 export class Agent {
 	readonly #parts: AgentParts;
 	readonly #settings: AgentSettings;
 	readonly #state: AgentState = newAgentState();
 	readonly #incarnation = `${Date.now()}-${randomUUID()}`;
 	#listener: AgentListener | undefined;
-	#isAsking = false;
+	#isStatusPending = false;
 
 	constructor(parts: AgentParts) {
 		this.#parts = parts;
@@ -62,39 +62,45 @@
 
 	start(listener: AgentListener): void {
 		this.#listener = listener;
-		this.#parts.timers.repeat(TICK_MS, () => {
-			this.take({kind: 'tick'});
+		this.#parts.timers.repeat(TICK_INTERVAL_MS, () => {
+			this.handleEvent({kind: 'tick'});
 		});
 		this.#parts.timers.repeat(this.#parts.settings.statusMs, () => {
-			void this.#askStatus();
+			void this.#pollStatus();
 		});
-		void this.#askStatus();
+		void this.#pollStatus();
 	}
 
-	/** Feeds one event and carries out what it calls for. Returns the decision on a dispatch. */
-	take(event: AgentEvent): DispatchDecision | undefined {
+	/** Handles one event and applies its effects. Returns the decision if the event is a dispatch. */
+	handleEvent(event: AgentEvent): DispatchDecision | undefined {
 		let decision: DispatchDecision | undefined;
 		for (const effect of mutateAgent(this.#state, this.#settings, event, SYSTEM_CLOCK.now())) {
-			decision = this.#carryOut(effect) ?? decision;
+			decision = this.#applyEffect(effect) ?? decision;
 		}
 
 		return decision;
 	}
 
-	takeUpdate(update: SessionUpdate): void {
+	/** Applies an update of the leader: new orders, or a confirmation of the current ones. */
+	applyUpdate(update: SessionUpdate): void {
 		if (!update.orders) {
-			this.take({kind: 'confirmed', requestedAt: update.sentAt});
+			this.handleEvent({kind: 'confirmed', requestedAt: update.sentAt});
 			return;
 		}
 
 		const {revision, isDrained, grants} = update.orders;
-		this.take({kind: 'orders', orders: {revision, isDrained, grants}, requestedAt: update.sentAt});
+		this.handleEvent({kind: 'orders', orders: {revision, isDrained, grants}, requestedAt: update.sentAt});
 	}
 
+	/**
+	 * Returns the outcome of an attempt whose response was lost. If the attempt was never accepted, its credit is withdrawn, so that a dispatch that
+	 * arrives late is refused.
+	 */
 	withdraw(attemptId: string, creditId: string): string {
 		return mutateWithdrawn(this.#state, attemptId, creditId);
 	}
 
+	/** Creates the report of this agent to the leader. */
 	newReport(sentAt: number): SessionReport {
 		const {settings} = this.#parts;
 		const {status} = this.#state;
@@ -126,7 +132,7 @@
 		return this.#state.status !== undefined;
 	}
 
-	#carryOut(effect: AgentEffect): DispatchDecision | undefined {
+	#applyEffect(effect: AgentEffect): DispatchDecision | undefined {
 		switch (effect.kind) {
 			case 'load': {
 				void this.#load(effect.order);
@@ -161,33 +167,33 @@
 		this.#parts.logger.info({
 			event: 'load-ended', ...order, result, tookMs: Math.round(SYSTEM_CLOCK.now() - startedAt),
 		}, 'load ended');
-		this.take({kind: 'loadEnded', unit: order.unit, result});
+		this.handleEvent({kind: 'loadEnded', unit: order.unit, result});
 	}
 
 	async #unload(order: UpstreamOrder): Promise<void> {
 		this.#parts.logger.info({event: 'unload-ordered', ...order}, 'unload ordered');
 		const result = await this.#parts.upstream.unload(order);
-		this.take({kind: 'unloadEnded', unit: order.unit, result});
+		this.handleEvent({kind: 'unloadEnded', unit: order.unit, result});
 	}
 
-	async #askStatus(): Promise<void> {
-		if (this.#isAsking) {
+	async #pollStatus(): Promise<void> {
+		if (this.#isStatusPending) {
 			return;
 		}
 
-		this.#isAsking = true;
+		this.#isStatusPending = true;
 		const requestedAt = SYSTEM_CLOCK.now();
 		try {
 			const status = await this.#parts.upstream.getStatus();
 			const isNew = this.#state.status?.incarnation !== status.incarnation || this.#state.status.isLeaving !== status.isLeaving;
-			this.take({kind: 'status', status, requestedAt});
+			this.handleEvent({kind: 'status', status, requestedAt});
 			if (isNew) {
 				this.#listener?.onReport();
 			}
 		} catch (error) {
-			this.#parts.logger.debug({event: 'upstream-silent', reason: (error as Error).message}, 'upstream gave no status');
+			this.#parts.logger.debug({event: 'upstream-silent', reason: (error as Error).message}, 'upstream status request failed');
 		} finally {
-			this.#isAsking = false;
+			this.#isStatusPending = false;
 		}
 	}
 }
--- a/apps/valelead-daemon/src/agent/lane-writer.ts
+++ b/apps/valelead-daemon/src/agent/lane-writer.ts
@@ -3,37 +3,38 @@
 import {type Frame, type LaneUpdate, LaneUpdateSchema} from '@valelead/protocol';
 import type {ServerDuplexStream} from '@grpc/grpc-js';
 
-/** Writes to one entry. What comes up in one turn of the event loop goes out as one message. */
+/** Writes frames and credits to the lane of one entry. Everything added in one event-loop iteration is sent as one message. */
 export class LaneWriter {
 	readonly #lane: ServerDuplexStream<unknown, LaneUpdate>;
 	#frames: Frame[] = [];
 	#credits: string[] = [];
 	#validForMs = 0;
-	#isFlushDue = false;
+	#isFlushScheduled = false;
 	#isFull = false;
 
 	constructor(lane: ServerDuplexStream<unknown, LaneUpdate>) {
 		this.#lane = lane;
 	}
 
-	/** Resolves when the entry can take more, or is gone. */
+	/** Adds a frame. Resolves when the stream accepts more data or was cancelled. */
 	async addFrame(frame: Frame): Promise<void> {
 		this.#frames.push(frame);
-		this.#flushSoon();
+		this.#scheduleFlush();
 		if (this.#isFull && this.#lane.writable) {
 			await Promise.race([once(this.#lane, 'drain'), once(this.#lane, 'cancelled')]);
 		}
 	}
 
+	/** Adds credits to grant to the entry, each valid for `validForMs` milliseconds. */
 	addCredits(ids: readonly string[], validForMs: number): void {
 		this.#credits.push(...ids);
 		this.#validForMs = validForMs;
-		this.#flushSoon();
+		this.#scheduleFlush();
 	}
 
-	#flushSoon(): void {
-		if (!this.#isFlushDue) {
-			this.#isFlushDue = true;
+	#scheduleFlush(): void {
+		if (!this.#isFlushScheduled) {
+			this.#isFlushScheduled = true;
 			setImmediate(() => {
 				this.#flush();
 			});
@@ -41,7 +42,7 @@
 	}
 
 	#flush(): void {
-		this.#isFlushDue = false;
+		this.#isFlushScheduled = false;
 		const update = create(LaneUpdateSchema, {
 			frames: this.#frames,
 			...(this.#credits.length > 0 && {credits: {ids: this.#credits, validForMs: this.#validForMs}}),
--- a/apps/valelead-daemon/src/agent/new-agent-service.ts
+++ b/apps/valelead-daemon/src/agent/new-agent-service.ts
@@ -16,20 +16,20 @@
 
 type LaneStream = ServerDuplexStream<LaneRequest, LaneUpdate>;
 
-/** The stream of one entry. */
+/** The stream between one entry and this agent. */
 type Lane = {
 	readonly stream: LaneStream;
 	readonly writer: LaneWriter;
 };
 
-/** An attempt that the upstream works on. */
+/** An attempt that the upstream is processing. */
 type RunningAttempt = {
 	readonly lane: Lane;
 	readonly controller: AbortController;
 	readonly isRepeatable: boolean;
 };
 
-/** Serves entries: lanes with credits and dispatches, and questions about lost answers. */
+/** Serves the lanes of entries, on which this agent grants credits and receives dispatches, and queries for the outcome of lost attempts. */
 class AgentService {
 	readonly #agent: Agent;
 	readonly #upstream: Upstream;
@@ -47,10 +47,10 @@
 		stream.on('data', (request: LaneRequest) => {
 			entry = request.entry;
 			this.#lanes.set(entry, lane);
-			this.#take(lane, request);
+			this.#handleRequest(lane, request);
 		});
 		const end = (): void => {
-			this.#endLane(entry, lane);
+			this.#closeLane(entry, lane);
 		};
 
 		stream.on('end', end);
@@ -62,10 +62,10 @@
 		this.#lanes.get(entry)?.writer.addCredits(ids, this.#agent.creditMs);
 	}
 
-	#take(lane: Lane, {entry, step}: LaneRequest): void {
+	#handleRequest(lane: Lane, {entry, step}: LaneRequest): void {
 		switch (step.case) {
 			case 'want': {
-				this.#agent.take({kind: 'lane', entry, wanted: step.value.wanted});
+				this.#agent.handleEvent({kind: 'lane', entry, wanted: step.value.wanted});
 				break;
 			}
 
@@ -89,11 +89,11 @@
 		}
 	}
 
-	/** Calls that may not be repeated go on to their end, so that the upstream is not left in between. */
-	#endLane(entry: string, lane: Lane): void {
+	/** Closes a lane and aborts its attempts. Attempts of requests that may not be repeated continue, so that the upstream completes them. */
+	#closeLane(entry: string, lane: Lane): void {
 		if (entry !== '' && this.#lanes.get(entry) === lane) {
 			this.#lanes.delete(entry);
-			this.#agent.take({kind: 'laneClosed', entry});
+			this.#agent.handleEvent({kind: 'laneClosed', entry});
 		}
 
 		for (const attempt of this.#attempts.values()) {
@@ -108,7 +108,7 @@
 	async #dispatch(lane: Lane, request: DispatchRequest): Promise<void> {
 		const {attemptId, creditId, unit, remainingMs} = request;
 		const writer = new FrameWriter(lane.writer, attemptId);
-		const decision = this.#agent.take({
+		const decision = this.#agent.handleEvent({
 			kind: 'dispatch', attemptId, creditId, unit, remainingMs,
 		});
 		if (decision?.kind !== 'accept') {
@@ -125,14 +125,14 @@
 			await writer.refuse(failure?.code ?? RESULT_CODE.UpstreamFailed, (error as Error).message, failure?.outcome ?? OUTCOME.Unknown);
 		} finally {
 			this.#attempts.delete(attemptId);
-			this.#agent.take({kind: 'attemptEnded', attemptId});
+			this.#agent.handleEvent({kind: 'attemptEnded', attemptId});
 		}
 	}
 
 	async #run(request: DispatchRequest, writer: FrameWriter, signal: AbortSignal): Promise<void> {
-		const answer = await this.#upstream.send({...request, body: Buffer.from(request.body)}, signal);
-		await writer.start(answer.status, answer.contentType);
-		for await (const chunk of answer.body) {
+		const response = await this.#upstream.send({...request, body: Buffer.from(request.body)}, signal);
+		await writer.start(response.status, response.contentType);
+		for await (const chunk of response.body) {
 			await writer.data(chunk);
 		}
 
@@ -140,7 +140,7 @@
 	}
 }
 
-/** The agent service as grpc-js takes it. */
+/** Starts the agent and creates the gRPC implementation of its service. */
 export const newAgentService = (agent: Agent, upstream: Upstream, onReport: () => void): UntypedServiceImplementation => {
 	const service = new AgentService(agent, upstream);
 	agent.start({
--- a/apps/valelead-daemon/src/agent/start-agent.ts
+++ b/apps/valelead-daemon/src/agent/start-agent.ts
@@ -14,14 +14,15 @@
 import type {Stoppable} from '../stoppable.js';
 import {getStartMs} from '../get-start-ms.js';
 import {Agent} from './agent.js';
-import {holdGuardPort} from './hold-guard-port.js';
+import {acquireGuardPort} from './acquire-guard-port.js';
 import {newAgentService} from './new-agent-service.js';
 
-const STATUS_WAIT_MS = 50;
+/** The polling interval while waiting for the first status of the upstream and for requests in progress, in milliseconds. */
+const STATUS_POLL_INTERVAL_MS = 50;
 
-/** Starts the agent of one upstream VM. */
+/** Starts the agent of one upstream VM. The agent contacts the leader after the first status of the upstream. */
 export const startAgent = async (settings: AgentDaemonSettings, logger: Logger): Promise<Stoppable> => {
-	const guard = await holdGuardPort(settings.guardPort);
+	const guard = await acquireGuardPort(settings.guardPort);
 	const timers = new TimerService(SYSTEM_CLOCK);
 	const pool = new ChannelPool(newChannelCredentials(settings.tls));
 	const upstream = new HttpUpstream(settings.upstream.host, settings.upstream.port, settings.orderTimeoutMs);
@@ -38,7 +39,7 @@
 		heartbeatMs: settings.heartbeatMs,
 		newReport: sentAt => agent.newReport(sentAt),
 		onUpdate(update) {
-			agent.takeUpdate(update);
+			agent.applyUpdate(update);
 		},
 	});
 	const server = new GrpcServer([{
@@ -57,9 +58,9 @@
 			metrics.configurationAge.set((SYSTEM_CLOCK.now() - agent.state.confirmedAt) / 1000);
 		},
 	});
-	const announce = timers.repeat(STATUS_WAIT_MS, () => {
+	const startupCheck = timers.repeat(STATUS_POLL_INTERVAL_MS, () => {
 		if (agent.hasStatus) {
-			announce.cancel();
+			startupCheck.cancel();
 			session.start();
 			logger.info({event: 'started', startMs: getStartMs()}, 'agent started');
 		}
@@ -67,14 +68,14 @@
 
 	return {
 		async stop() {
-			agent.take({kind: 'stop'});
+			agent.handleEvent({kind: 'stop'});
 			const endsAt = SYSTEM_CLOCK.now() + settings.stopLimitMs;
 			while (agent.state.inProgress > 0 && SYSTEM_CLOCK.now() < endsAt) {
-				await timers.wait(STATUS_WAIT_MS);
+				await timers.wait(STATUS_POLL_INTERVAL_MS);
 			}
 
-			await timers.wait(STATUS_WAIT_MS);
-			announce.cancel();
+			await timers.wait(STATUS_POLL_INTERVAL_MS);
+			startupCheck.cancel();
 			session.stop();
 			server.stop();
 			admin.close();
--- a/apps/valelead-daemon/src/entry/attempt.ts
+++ b/apps/valelead-daemon/src/entry/attempt.ts
@@ -3,24 +3,24 @@
 	OUTCOME, type OutcomeValue, RESULT_CODE, type ResultCodeValue,
 } from '@valelead/common';
 import type {Frame} from '@valelead/protocol';
-import type {AnswerSink} from './answer-sink.js';
+import type {ResponseSink} from './response-sink.js';
 
 type AttemptEvents = {
-	/** The first part of the answer came. Returns false to reject the answer. */
+	/** Called when the status of the response has arrived. Returns false to reject the response. */
 	readonly onStart: (status: number) => boolean;
 	readonly onData: () => void;
 	readonly onEnd: () => void;
 	readonly onFailure: (code: ResultCodeValue, outcome: OutcomeValue) => void;
-	/** The agent should stop working on the attempt. */
+	/** Called when the agent should stop working on the attempt. */
 	readonly onCancel: () => void;
-	/** The answer was lost before anything of it came; what became of the request must be asked. */
+	/** Called when the lane closed before any frame arrived. Asks the agent whether the request was run. */
 	readonly askOutcome: () => Promise<OutcomeValue>;
 };
 
 type AttemptParts = {
 	readonly attemptId: string;
 	readonly vm: string;
-	readonly sink: AnswerSink;
+	readonly sink: ResponseSink;
 	readonly maxWholeBytes: number;
 	readonly events: AttemptEvents;
 };
@@ -28,8 +28,8 @@
 const HTTP_SERVER_ERROR = 500;
 
 /**
- * One dispatch to an agent. Frames are taken in order and only for this attempt; an answer counts as whole
- * when its last frame's counts agree with what came.
+ * One attempt to serve a request through an agent. Frames must arrive in order and belong to this attempt. A response is complete
+ * if the frame and byte counts in its last frame match the received frames.
  */
 export class Attempt {
 	readonly #parts: AttemptParts;
@@ -45,7 +45,7 @@
 		return this.#parts.vm;
 	}
 
-	/** Drops the attempt; nothing of it is passed on any more. */
+	/** Cancels the attempt. Later frames are ignored. */
 	cancel(): void {
 		if (!this.#isEnded) {
 			this.#isEnded = true;
@@ -59,15 +59,15 @@
 		}
 
 		if (frame.attemptId !== this.#parts.attemptId || frame.sequence !== this.#sequence) {
-			this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+			this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			return;
 		}
 
 		this.#sequence += 1;
-		this.#takePart(frame.part);
+		this.#handlePart(frame.part);
 	}
 
-	/** The lane broke off. If nothing came, the agent may still say that the request did not run. */
+	/** Ends the attempt after its lane has closed. If no frame had arrived, the agent is asked, as it may confirm that the request did not run. */
 	async lose(): Promise<void> {
 		if (this.#isEnded) {
 			return;
@@ -79,20 +79,20 @@
 		this.#parts.events.onFailure(code, outcome);
 	}
 
-	#takePart(part: Frame['part']): void {
+	#handlePart(part: Frame['part']): void {
 		switch (part.case) {
 			case 'start': {
-				this.#start(part.value.status, part.value.contentType);
+				this.#handleStart(part.value.status, part.value.contentType);
 				break;
 			}
 
 			case 'data': {
-				this.#addData(Buffer.from(part.value));
+				this.#handleData(Buffer.from(part.value));
 				break;
 			}
 
 			case 'end': {
-				this.#end(part.value.frames, part.value.bytes);
+				this.#handleEnd(part.value.frames, part.value.bytes);
 				break;
 			}
 
@@ -103,25 +103,25 @@
 			}
 
 			default: {
-				this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+				this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			}
 		}
 	}
 
-	#start(status: number, contentType: string): void {
+	#handleStart(status: number, contentType: string): void {
 		if (!this.#parts.events.onStart(status)) {
 			const code = status >= HTTP_SERVER_ERROR ? RESULT_CODE.UpstreamFailed : RESULT_CODE.UpstreamRejected;
-			this.#fail(code, OUTCOME.Unknown);
+			this.#abort(code, OUTCOME.Unknown);
 			return;
 		}
 
 		this.#parts.sink.start(status, contentType);
 	}
 
-	#addData(chunk: Buffer): void {
+	#handleData(chunk: Buffer): void {
 		this.#bytes += chunk.length;
 		if (!this.#parts.sink.isStream && this.#bytes > this.#parts.maxWholeBytes) {
-			this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+			this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			return;
 		}
 
@@ -129,9 +129,9 @@
 		this.#parts.sink.data(chunk);
 	}
 
-	#end(frames: number, bytes: number): void {
+	#handleEnd(frames: number, bytes: number): void {
 		if (frames !== this.#sequence - 1 || bytes !== this.#bytes) {
-			this.#fail(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
+			this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			return;
 		}
 
@@ -139,7 +139,7 @@
 		this.#parts.events.onEnd();
 	}
 
-	#fail(code: ResultCodeValue, outcome: OutcomeValue): void {
+	#abort(code: ResultCodeValue, outcome: OutcomeValue): void {
 		this.cancel();
 		this.#parts.events.onFailure(code, outcome);
 	}
--- a/apps/valelead-daemon/src/entry/caller-server.ts
+++ b/apps/valelead-daemon/src/entry/caller-server.ts
@@ -13,12 +13,13 @@
 const HEADERS_TIMEOUT_MS = 10_000;
 const REQUEST_TIMEOUT_MS = 60_000;
 
-/** Connections beyond the limit that are answered with a refusal before the rest is dropped. */
-const SPARE_CONNECTIONS = 64;
+/** Number of connections beyond the limit whose requests are refused with an error response. Connections beyond those are dropped. */
+const REFUSED_CONNECTIONS = 64;
 
-const RETRY_MS = 1000;
+/** The Retry-After time of requests on connections beyond the limit, in milliseconds. */
+const RETRY_AFTER_MS = 1000;
 
-/** The port that callers and the platform's balancer reach. */
+/** The HTTP server for callers and for the readiness checks of the platform's load balancer. */
 export class CallerServer {
 	readonly #handler: HttpHandler;
 	readonly #settings: EntrySettings;
@@ -34,16 +35,16 @@
 			maxHeaderSize: MAX_HEADER_BYTES, headersTimeout: HEADERS_TIMEOUT_MS, requestTimeout: REQUEST_TIMEOUT_MS,
 		}, (message, response) => {
 			this.#connections.note(response);
-			this.#serve(message, response);
+			this.#handle(message, response);
 		});
-		this.#server.maxConnections = settings.maxConnections + SPARE_CONNECTIONS;
+		this.#server.maxConnections = settings.maxConnections + REFUSED_CONNECTIONS;
 		this.#server.on('connection', socket => {
 			this.#connections.add(socket);
 			socket.setNoDelay(true);
 		});
 	}
 
-	/** Answers that callers have not taken whole. */
+	/** Number of responses with data still buffered in this process. */
 	get unfinishedCount(): number {
 		return this.#connections.unfinishedCount;
 	}
@@ -53,23 +54,23 @@
 		await once(this.#server, 'listening');
 	}
 
-	/** From now on an answer that has not begun is the last one on its connection. */
-	endAfterAnswers(): void {
-		this.#connections.endAfterAnswers();
+	/** Sets `connection: close` on all responses whose headers have not been sent, now and in the future. */
+	closeAfterResponses(): void {
+		this.#connections.closeAfterResponses();
 	}
 
-	/** Takes no new connections; those that are idle end, the others after their answer. */
+	/** Stops accepting connections and closes idle ones. Busy connections close after their response. */
 	close(): void {
 		stopListening(this.#server);
 		this.#connections.closeIdle();
 	}
 
-	/** Ends the connections that have become idle. */
+	/** Closes connections that have become idle. */
 	closeIdle(): void {
 		this.#connections.closeIdle();
 	}
 
-	#serve(message: IncomingMessage, response: ServerResponse): void {
+	#handle(message: IncomingMessage, response: ServerResponse): void {
 		if (message.url === '/healthz' || message.url === '/readyz') {
 			const reason = message.url === '/readyz' ? this.#getUnreadyReason() : undefined;
 			response.writeHead(reason === undefined ? 200 : 503, {'content-type': 'text/plain'});
@@ -80,7 +81,7 @@
 		if (this.#connections.size > this.#settings.maxConnections) {
 			response.setHeader('connection', 'close');
 			writeRefusal(response, {
-				code: RESULT_CODE.TooManyConnections, message: RESULT_DETAILS[RESULT_CODE.TooManyConnections].meaning, outcome: OUTCOME.NotRun, retryAfterMs: RETRY_MS,
+				code: RESULT_CODE.TooManyConnections, message: RESULT_DETAILS[RESULT_CODE.TooManyConnections].meaning, outcome: OUTCOME.NotRun, retryAfterMs: RETRY_AFTER_MS,
 			}, '');
 			return;
 		}
--- a/apps/valelead-daemon/src/entry/whole-answer.ts
+++ b/apps/valelead-daemon/src/entry/complete-response.ts
@@ -1,7 +1,7 @@
 import type {Buffer} from 'node:buffer';
 
-/** An answer that was received to its end. */
-export type WholeAnswer = {
+/** A response that was received completely. */
+export type CompleteResponse = {
 	readonly status: number;
 	readonly contentType: string;
 	readonly body: Buffer;
--- a/apps/valelead-daemon/src/entry/dispatcher.ts
+++ b/apps/valelead-daemon/src/entry/dispatcher.ts
@@ -23,17 +23,17 @@
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly getIntent: () => Intent;
-	/** Requests began to wait for a target that has no replica. */
+	/** Called when a request has arrived for a target without a ready replica. */
 	readonly onColdDemand: () => void;
 	readonly onEnd: (exchange: Exchange, code: ResultCodeValue) => void;
 };
 
 type Dispatch = Extract<AdmissionEffect, {kind: 'dispatch'}>;
 
-const TICK_MS = 25;
+const TICK_INTERVAL_MS = 25;
 const HTTP_SERVER_ERROR = 500;
 
-/** Runs an entry's admission: feeds it with events and carries out dispatches and refusals. */
+/** Runs the admission control of an entry. Passes events to it and applies the resulting dispatches, refusals and cancellations. */
 export class Dispatcher {
 	readonly #parts: DispatcherParts;
 	readonly #state: AdmissionState = newAdmissionState();
@@ -49,7 +49,7 @@
 		this.#recorder = new ExchangeRecorder(parts.metrics, parts.clock);
 		this.#lanes = new Lanes(parts.entry, parts.pool, {
 			onCredits: (vm, creditIds, validForMs) => {
-				this.#take({
+				this.#handleEvent({
 					kind: 'credits', vm, creditIds, validForMs,
 				});
 			},
@@ -60,35 +60,39 @@
 				this.#closeLane(vm);
 			},
 		}, parts.timers);
-		parts.timers.repeat(TICK_MS, () => {
-			this.#take({kind: 'tick'});
+		parts.timers.repeat(TICK_INTERVAL_MS, () => {
+			this.#handleEvent({kind: 'tick'});
 		});
 	}
 
+	/** Number of requests that have not ended, including those that are waiting. */
 	get inProgress(): number {
 		return this.#exchanges.size;
 	}
 
+	/** Number of requests that are waiting in queues. */
 	get waiting(): number {
 		return [...this.#state.queues.values()].reduce((sum, queue) => sum + queue.length, 0);
 	}
 
+	/** Returns true if some VM can currently serve the target. */
 	hasEndpoint(target: string): boolean {
 		return (this.#state.endpoints.get(target)?.length ?? 0) > 0;
 	}
 
-	/** Demand since the last call, for the leader. */
-	takeDemands(): TargetDemand[] {
+	/** Returns the demand since the last call and resets it. The demand is reported to the leader. */
+	collectDemands(): TargetDemand[] {
 		return mutateTargetDemands(this.#state, this.#parts.clock.now());
 	}
 
-	arrive(exchange: Exchange): void {
+	/** Submits a request that has arrived to admission control. */
+	submit(exchange: Exchange): void {
 		const {request, requestId, arrivedAt} = exchange;
 		const intent = this.#parts.getIntent();
 		const requestClass = intent.classes.get(request.className)!;
 		const team = intent.teams.get(request.team)!;
 		this.#exchanges.set(requestId, exchange);
-		this.#take({
+		this.#handleEvent({
 			kind: 'arrive',
 			request: {
 				requestId,
@@ -102,9 +106,9 @@
 				isRepeatable: request.isRepeatable,
 			},
 			limits: {
-				teamInProgress: this.#getShare(team.maxInProgress),
-				teamWaiting: this.#getShare(team.maxWaiting),
-				classWaiting: this.#getShare(requestClass.maxWaiting),
+				teamInProgress: this.#getLimitPerEntry(team.maxInProgress),
+				teamWaiting: this.#getLimitPerEntry(team.maxWaiting),
+				classWaiting: this.#getLimitPerEntry(requestClass.maxWaiting),
 			},
 		});
 		if (exchange.wasCold) {
@@ -112,7 +116,10 @@
 		}
 	}
 
-	/** The caller is gone. A request that may not run twice is finished all the same, so that a resend finds its answer. */
+	/**
+	 * Cancels the request of a caller that has disconnected. A request that may not run twice is completed nevertheless, so that a repeated request
+	 * gets its response.
+	 */
 	abandon(requestId: string): void {
 		const exchange = this.#exchanges.get(requestId);
 		if (!exchange?.request.isRepeatable) {
@@ -120,24 +127,25 @@
 		}
 
 		this.#exchanges.delete(requestId);
-		this.#take({kind: 'abandon', requestId});
+		this.#handleEvent({kind: 'abandon', requestId});
 		this.#finish(exchange, RESULT_CODE.ClientClosed);
 	}
 
+	/** Refuses all requests that are waiting in queues. */
 	refuseWaiting(code: ResultCodeValue): void {
-		this.#take({kind: 'refuseAll', code});
+		this.#handleEvent({kind: 'refuseAll', code});
 	}
 
 	/**
-	 * From now on sends only what ends before this process does, by its own deadline.
-	 * @param endsAt - When what is in progress is broken off, in monotonic milliseconds.
+	 * Stops gracefully. Only requests whose deadline is before the end of this process are dispatched from now on.
+	 * @param endsAt - When the requests in progress are aborted, in monotonic milliseconds.
 	 */
 	stop(endsAt: number): void {
-		this.#take({kind: 'stop', endsAt});
+		this.#handleEvent({kind: 'stop', endsAt});
 	}
 
-	/** Ends what is still in progress with an honest answer. */
-	cutAll(code: ResultCodeValue): void {
+	/** Aborts all requests. Dispatched requests are refused with an unknown outcome. */
+	abortAll(code: ResultCodeValue): void {
 		this.refuseWaiting(code);
 		for (const exchange of this.#exchanges.values()) {
 			this.#refuse(exchange, code, OUTCOME.Unknown, 0);
@@ -148,7 +156,8 @@
 		}
 	}
 
-	takeEndpoints(changed: readonly Endpoint[], entryCount: number): void {
+	/** Applies changed endpoints of agents and the number of entries, among which the limits of teams and classes are divided. */
+	updateEndpoints(changed: readonly Endpoint[], entryCount: number): void {
 		this.#entryCount = Math.max(1, entryCount);
 		if (changed.length === 0) {
 			return;
@@ -161,20 +170,20 @@
 			}
 		}
 
-		this.#take({kind: 'endpoints', endpoints: newEndpointIndex(this.#endpoints.values())});
+		this.#handleEvent({kind: 'endpoints', endpoints: newEndpointIndex(this.#endpoints.values())});
 	}
 
-	#getShare(limit: number): number {
+	#getLimitPerEntry(limit: number): number {
 		return Math.max(1, Math.floor(limit / this.#entryCount));
 	}
 
-	#take(event: AdmissionEvent): void {
+	#handleEvent(event: AdmissionEvent): void {
 		for (const effect of mutateAdmission(this.#state, this.#parts.settings, event, this.#parts.clock.now())) {
-			this.#carryOut(effect);
+			this.#applyEffect(effect);
 		}
 	}
 
-	#carryOut(effect: AdmissionEffect): void {
+	#applyEffect(effect: AdmissionEffect): void {
 		switch (effect.kind) {
 			case 'dispatch': {
 				this.#dispatch(effect);
@@ -197,7 +206,7 @@
 			}
 
 			case 'want': {
-				this.#lanes.want(effect.vm, effect.wanted, this.#parts.clock.now());
+				this.#lanes.setWaitingCount(effect.vm, effect.wanted, this.#parts.clock.now());
 				break;
 			}
 
@@ -223,7 +232,7 @@
 		this.#attempts.set(dispatch.attemptId, attempt);
 		const {weight} = this.#parts.getIntent().classes.get(exchange.request.className)!;
 		if (!this.#lanes.dispatch(dispatch.vm, newDispatchRequest(exchange, dispatch, weight))) {
-			this.#fail(exchange, dispatch.attemptId, RESULT_CODE.AgentLost, OUTCOME.NotRun);
+			this.#handleFailure(exchange, dispatch.attemptId, RESULT_CODE.AgentLost, OUTCOME.NotRun);
 		}
 	}
 
@@ -234,15 +243,15 @@
 			sink: exchange.sink,
 			maxWholeBytes: this.#parts.maxAnswerBytes,
 			events: {
-				onStart: status => this.#start(exchange, attemptId, status),
+				onStart: status => this.#handleStart(exchange, attemptId, status),
 				onData: () => {
 					this.#recorder.noteData(exchange);
 				},
 				onEnd: () => {
-					this.#end(exchange, attemptId);
+					this.#handleEnd(exchange, attemptId);
 				},
 				onFailure: (code, outcome) => {
-					this.#fail(exchange, attemptId, code, outcome);
+					this.#handleFailure(exchange, attemptId, code, outcome);
 				},
 				onCancel: () => {
 					this.#lanes.cancel(vm, attemptId);
@@ -253,7 +262,7 @@
 	}
 
 	#closeLane(vm: string): void {
-		this.#take({kind: 'laneClosed', vm});
+		this.#handleEvent({kind: 'laneClosed', vm});
 		for (const attempt of this.#attempts.values()) {
 			if (attempt.vm === vm) {
 				void attempt.lose();
@@ -269,33 +278,35 @@
 		}
 	}
 
-	/** An upstream's own failure of a request that may run again is not passed on but tried elsewhere. */
-	#start(exchange: Exchange, attemptId: string, status: number): boolean {
+	/**
+	 * Returns false for a server error of a repeatable request, so that the request is retried at another upstream instead of passing on the error.
+	 */
+	#handleStart(exchange: Exchange, attemptId: string, status: number): boolean {
 		if (status >= HTTP_SERVER_ERROR && exchange.request.isRepeatable) {
 			return false;
 		}
 
 		if (exchange.sink.isStream) {
-			this.#take({kind: 'started', requestId: exchange.requestId, attemptId});
+			this.#handleEvent({kind: 'started', requestId: exchange.requestId, attemptId});
 		}
 
 		return true;
 	}
 
-	#end(exchange: Exchange, attemptId: string): void {
+	#handleEnd(exchange: Exchange, attemptId: string): void {
 		this.#dropAttempt(attemptId);
 		if (!this.#exchanges.delete(exchange.requestId)) {
 			return;
 		}
 
 		exchange.sink.end();
-		this.#take({kind: 'finished', requestId: exchange.requestId, attemptId});
+		this.#handleEvent({kind: 'finished', requestId: exchange.requestId, attemptId});
 		this.#finish(exchange, RESULT_CODE.Ok);
 	}
 
-	#fail(exchange: Exchange, attemptId: string, code: ResultCodeValue, outcome: OutcomeValue): void {
+	#handleFailure(exchange: Exchange, attemptId: string, code: ResultCodeValue, outcome: OutcomeValue): void {
 		this.#dropAttempt(attemptId);
-		this.#take({
+		this.#handleEvent({
 			kind: 'failed', requestId: exchange.requestId, attemptId, code, outcome, jitter: Math.random(),
 		});
 	}
--- a/apps/valelead-daemon/src/entry/entry.ts
+++ b/apps/valelead-daemon/src/entry/entry.ts
@@ -29,10 +29,10 @@
 	readonly pool: ChannelPool;
 };
 
-const IDLE_POLL_MS = 20;
+const IDLE_POLL_INTERVAL_MS = 20;
 const MS_PER_SECOND = 1000;
 
-/** An entry: follows the leader, takes callers' requests and hands them to agents. */
+/** Runs the role entry: follows the configuration of the leader, receives requests of callers and dispatches them to agents. */
 export class Entry implements Stoppable {
 	readonly #parts: EntryParts;
 	readonly #follower = new IntentFollower(SYSTEM_CLOCK);
@@ -42,7 +42,7 @@
 	readonly #callers: CallerServer;
 	readonly #session: SessionClient;
 	#admin: Server | undefined;
-	/** When what is in progress is broken off, from the stop signal on. */
+	/** When requests in progress are aborted, in monotonic milliseconds. Undefined before the stop signal. */
 	#endsAt: number | undefined;
 
 	constructor(parts: EntryParts) {
@@ -56,7 +56,7 @@
 		const {settings, timers, logger} = this.#parts;
 		this.#session.start();
 		timers.repeat(settings.heartbeatMs, () => {
-			this.#refuseWhenCutOff();
+			this.#refuseIfPartitioned();
 		});
 		await this.#callers.listen();
 		this.#admin = await startAdminServer({
@@ -71,10 +71,10 @@
 		logger.info({event: 'started', startMs: getStartMs()}, 'entry started');
 	}
 
-	/** Fails readiness, lets the balancer notice, refuses what could not end in time, and waits for the rest. */
+	/** Fails readiness, waits for the load balancer to notice, refuses requests that could not end in time and waits for the remaining ones. */
 	async stop(): Promise<void> {
 		const {settings, timers} = this.#parts;
-		this.#setEnd(SYSTEM_CLOCK.now() + settings.balancerDelayMs + settings.stopLimitMs);
+		this.#beginStop(SYSTEM_CLOCK.now() + settings.balancerDelayMs + settings.stopLimitMs);
 		await timers.wait(settings.balancerDelayMs);
 		this.#callers.close();
 		await this.#waitUntilIdle();
@@ -84,13 +84,13 @@
 	}
 
 	stopNow(): void {
-		this.#setEnd(SYSTEM_CLOCK.now());
-		this.#dispatcher.cutAll(RESULT_CODE.Draining);
+		this.#beginStop(SYSTEM_CLOCK.now());
+		this.#dispatcher.abortAll(RESULT_CODE.Draining);
 	}
 
-	#setEnd(endsAt: number): void {
+	#beginStop(endsAt: number): void {
 		this.#endsAt = endsAt;
-		this.#callers.endAfterAnswers();
+		this.#callers.closeAfterResponses();
 		this.#dispatcher.stop(endsAt);
 	}
 
@@ -109,7 +109,7 @@
 				this.#session.reportSoon();
 			},
 			onEnd: (exchange, code) => {
-				this.#log(exchange, code);
+				this.#logEnd(exchange, code);
 			},
 		});
 	}
@@ -126,7 +126,7 @@
 			logger,
 			maxBodyBytes: settings.maxBodyBytes,
 			streamStallMs: settings.streamStallMs,
-			getClosedCode: () => this.#getClosedCode(),
+			getRefusalCode: () => this.#getRefusalCode(),
 		});
 	}
 
@@ -141,7 +141,7 @@
 			heartbeatMs: settings.heartbeatMs,
 			newReport: sentAt => this.#newReport(sentAt),
 			onUpdate: update => {
-				this.#takeUpdate(update);
+				this.#applyUpdate(update);
 			},
 		});
 	}
@@ -152,7 +152,7 @@
 	}
 
 	#newReport(sentAt: number): SessionReport {
-		const demands = this.#dispatcher.takeDemands().map(({target, ...demand}) => ({unit: target, ...demand, inProgress: 0}));
+		const demands = this.#dispatcher.collectDemands().map(({target, ...demand}) => ({unit: target, ...demand, inProgress: 0}));
 		const value = {
 			vm: this.#parts.settings.vm,
 			sentAt,
@@ -164,27 +164,30 @@
 		return create(SessionReportSchema, {report: {case: 'entry', value}});
 	}
 
-	#takeUpdate(update: SessionUpdate): void {
-		if (this.#follower.take(update)) {
+	#applyUpdate(update: SessionUpdate): void {
+		if (this.#follower.applyUpdate(update)) {
 			this.#keys.refresh(this.#follower.intent);
 		}
 
-		this.#dispatcher.takeEndpoints(update.endpoints, update.entryCount);
+		this.#dispatcher.updateEndpoints(update.endpoints, update.entryCount);
 	}
 
-	/** Why no request is taken. An entry that stops still takes those that end before it does; its admission refuses the others. */
-	#getClosedCode(): ResultCodeValue | undefined {
+	/**
+	 * Returns the result code with which all requests are refused, or undefined. A stopping entry still accepts requests that end in time; admission
+	 * refuses the others.
+	 */
+	#getRefusalCode(): ResultCodeValue | undefined {
 		const isTooOld = this.#follower.ageMs > this.#parts.settings.maxConfigurationAgeMs;
 		return isTooOld ? RESULT_CODE.ConfigurationTooOld : undefined;
 	}
 
 	#getUnreadyReason(): string | undefined {
-		const code = this.#endsAt === undefined ? this.#getClosedCode() : RESULT_CODE.Draining;
+		const code = this.#endsAt === undefined ? this.#getRefusalCode() : RESULT_CODE.Draining;
 		return code === undefined ? undefined : RESULT_DETAILS[code].name;
 	}
 
-	#refuseWhenCutOff(): void {
-		if (this.#getClosedCode() === RESULT_CODE.ConfigurationTooOld) {
+	#refuseIfPartitioned(): void {
+		if (this.#getRefusalCode() === RESULT_CODE.ConfigurationTooOld) {
 			this.#dispatcher.refuseWaiting(RESULT_CODE.ConfigurationTooOld);
 		}
 	}
@@ -192,12 +195,12 @@
 	async #waitUntilIdle(): Promise<void> {
 		const isBusy = (): boolean => this.#dispatcher.inProgress > 0 || this.#callers.unfinishedCount > 0;
 		while (isBusy() && SYSTEM_CLOCK.now() < this.#endsAt!) {
-			await this.#parts.timers.wait(IDLE_POLL_MS);
+			await this.#parts.timers.wait(IDLE_POLL_INTERVAL_MS);
 			this.#callers.closeIdle();
 		}
 	}
 
-	#log({requestId, request, arrivedAt}: Exchange, code: ResultCodeValue): void {
+	#logEnd({requestId, request, arrivedAt}: Exchange, code: ResultCodeValue): void {
 		const {team, className, target} = request;
 		const tookMs = Math.round(SYSTEM_CLOCK.now() - arrivedAt);
 		this.#parts.logger.info({
--- a/apps/valelead-daemon/src/entry/exchange-recorder.ts
+++ b/apps/valelead-daemon/src/entry/exchange-recorder.ts
@@ -9,7 +9,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Records the times of exchanges in the histograms of their team and class. */
+/** Records durations and results of exchanges in the metrics of their team and class. */
 export class ExchangeRecorder {
 	readonly #metrics: Metrics;
 	readonly #clock: Clock;
@@ -19,6 +19,7 @@
 		this.#clock = clock;
 	}
 
+	/** Records the queue wait of an exchange at its first dispatch. */
 	noteDispatch(exchange: Exchange): void {
 		if (exchange.dispatchedAt === undefined) {
 			exchange.dispatchedAt = this.#clock.now();
@@ -26,26 +27,28 @@
 		}
 	}
 
+	/** Records the time to the first chunk of a response, or the time between two chunks of a stream. */
 	noteData(exchange: Exchange): void {
 		const now = this.#clock.now();
 		const labels = this.#getLabels(exchange);
-		if (exchange.firstPartAt === undefined) {
-			exchange.firstPartAt = now;
-			this.#noteFirstPart(exchange, labels);
+		if (exchange.firstChunkAt === undefined) {
+			exchange.firstChunkAt = now;
+			this.#noteFirstChunk(exchange, labels);
 		} else if (exchange.sink.isStream) {
-			this.#metrics.betweenTokens.observe(labels, (now - exchange.lastPartAt) / MS_PER_SECOND);
+			this.#metrics.betweenTokens.observe(labels, (now - exchange.lastChunkAt) / MS_PER_SECOND);
 		}
 
-		exchange.lastPartAt = now;
+		exchange.lastChunkAt = now;
 	}
 
+	/** Records the duration and the result of an exchange that has ended. */
 	noteEnd(exchange: Exchange, code: ResultCodeValue): void {
 		const labels = this.#getLabels(exchange);
 		this.#metrics.duration.observe(labels, this.#getSecondsSince(exchange.arrivedAt));
 		this.#metrics.results.inc({...labels, code: String(code)});
 	}
 
-	#noteFirstPart(exchange: Exchange, labels: RequestLabels): void {
+	#noteFirstChunk(exchange: Exchange, labels: RequestLabels): void {
 		const seconds = this.#getSecondsSince(exchange.arrivedAt);
 		this.#metrics.firstToken.observe(labels, seconds);
 		if (exchange.wasCold) {
--- a/apps/valelead-daemon/src/entry/http-handler.ts
+++ b/apps/valelead-daemon/src/entry/http-handler.ts
@@ -10,18 +10,18 @@
 import {readBody} from '../read-body.js';
 import {routeRequest} from './route-request.js';
 import {StreamSink} from './stream-sink.js';
-import {WholeSink} from './whole-sink.js';
+import {BufferedSink} from './buffered-sink.js';
 import {newModelList} from './new-model-list.js';
 import {writeRefusal} from './write-refusal.js';
-import {writeWholeAnswer} from './write-whole-answer.js';
-import type {AnswerSink} from './answer-sink.js';
+import {writeCompleteResponse} from './write-complete-response.js';
+import type {ResponseSink} from './response-sink.js';
 import type {ClaimClient} from './claim-client.js';
 import type {Dispatcher} from './dispatcher.js';
 import type {IntentFollower} from './intent-follower.js';
 import type {KeyIndex} from './key-index.js';
 import type {Refusal} from './refusal.js';
 import type {RoutedRequest} from './routed-request.js';
-import type {WholeAnswer} from './whole-answer.js';
+import type {CompleteResponse} from './complete-response.js';
 
 type HandlerParts = {
 	readonly follower: IntentFollower;
@@ -33,20 +33,21 @@
 	readonly logger: Logger;
 	readonly maxBodyBytes: number;
 	readonly streamStallMs: number;
-	/** Why no new work is taken, or undefined. */
-	readonly getClosedCode: () => ResultCodeValue | undefined;
+	/** Returns the result code with which new requests are refused, or undefined if they are accepted. */
+	readonly getRefusalCode: () => ResultCodeValue | undefined;
 };
 
-/** What is added to the time of a class before a claim without an answer counts as lost, in milliseconds. */
-const CLAIM_SLACK_MS = 10_000;
+/** The time after the deadline of its class at which an unsettled claim is overdue, in milliseconds. */
+const CLAIM_GRACE_MS = 10_000;
 
-/** When to fetch the answer of a request that is still in progress, in milliseconds. */
-const IN_PROGRESS_RETRY_MS = 1000;
+/** The Retry-After time of a repeated request whose first copy is still in progress, in milliseconds. */
+const IN_PROGRESS_RETRY_AFTER_MS = 1000;
 
-const NO_QUORUM_RETRY_MS = 2000;
+/** The Retry-After time of requests whose claim the quorum did not commit, in milliseconds. */
+const NO_QUORUM_RETRY_AFTER_MS = 2000;
 
-/** How long a finished answer waits for its settlement before it is given to the caller, in milliseconds. */
-const SETTLE_WAIT_MS = 1000;
+/** The longest time that a complete response is held back until the quorum has stored it, in milliseconds. */
+const SETTLE_TIMEOUT_MS = 1000;
 
 const toRefusal = (error: unknown): Refusal => {
 	const known = error instanceof ValeleadError ? error : undefined;
@@ -56,7 +57,7 @@
 	};
 };
 
-/** Serves callers: checks who asks for what, claims what must not run twice, and hands requests to the dispatcher. */
+/** Handles HTTP requests of callers: authenticates and routes them, claims requests that must not run twice and passes requests to the dispatcher. */
 export class HttpHandler {
 	readonly #parts: HandlerParts;
 
@@ -80,9 +81,9 @@
 	}
 
 	async #handle(message: IncomingMessage, response: ServerResponse, requestId: string): Promise<void> {
-		const closedCode = this.#parts.getClosedCode();
-		if (closedCode !== undefined) {
-			throw new ValeleadError(RESULT_DETAILS[closedCode].meaning, {code: closedCode, outcome: OUTCOME.NotRun, retryAfterMs: 1000});
+		const refusalCode = this.#parts.getRefusalCode();
+		if (refusalCode !== undefined) {
+			throw new ValeleadError(RESULT_DETAILS[refusalCode].meaning, {code: refusalCode, outcome: OUTCOME.NotRun, retryAfterMs: 1000});
 		}
 
 		const {intent} = this.#parts.follower;
@@ -92,7 +93,7 @@
 		}
 
 		if (message.method === 'GET' && message.url === '/v1/models') {
-			writeWholeAnswer(response, newModelList(intent, team.name), requestId);
+			writeCompleteResponse(response, newModelList(intent, team.name), requestId);
 			return;
 		}
 
@@ -110,8 +111,8 @@
 	async #serve(request: RoutedRequest, response: ServerResponse, requestId: string): Promise<void> {
 		const sink = request.isStream
 			? new StreamSink(response, requestId, this.#parts.timers, this.#parts.streamStallMs)
-			: new WholeSink(answer => {
-				writeWholeAnswer(response, answer, requestId);
+			: new BufferedSink(completeResponse => {
+				writeCompleteResponse(response, completeResponse, requestId);
 			}, refusal => {
 				writeRefusal(response, refusal, requestId);
 			});
@@ -120,51 +121,51 @@
 				this.#parts.dispatcher.abandon(requestId);
 			}
 		});
-		this.#arrive(request, sink, requestId);
+		this.#submit(request, sink, requestId);
 	}
 
-	#arrive(request: RoutedRequest, sink: AnswerSink, requestId: string): void {
+	#submit(request: RoutedRequest, sink: ResponseSink, requestId: string): void {
 		const now = this.#parts.clock.now();
-		this.#parts.dispatcher.arrive({
+		this.#parts.dispatcher.submit({
 			requestId,
 			request,
 			sink,
 			arrivedAt: now,
 			wasCold: !this.#parts.dispatcher.hasEndpoint(request.target),
 			dispatchedAt: undefined,
-			firstPartAt: undefined,
-			lastPartAt: now,
+			firstChunkAt: undefined,
+			lastChunkAt: now,
 		});
 	}
 
-	/** Runs a request only with a claim that the quorum has committed, and keeps its answer for resends. */
+	/** Runs a request only after the quorum has committed its claim, and stores its response for repeated requests. */
 	async #serveOnce(request: RoutedRequest, response: ServerResponse, requestId: string): Promise<void> {
 		const {deadlineMs} = this.#parts.follower.intent.classes.get(request.className)!;
 		const reply = await this.#claim(request, requestId, deadlineMs);
 		if (reply.kind !== 'claimed') {
-			this.#answerClaimed(reply, response, requestId);
+			this.#respondFromClaim(reply, response, requestId);
 			return;
 		}
 
-		const sink = new WholeSink(answer => {
-			void this.#settle(request, response, requestId, answer);
+		const sink = new BufferedSink(completeResponse => {
+			void this.#deliverOnce(request, response, requestId, completeResponse);
 		}, refusal => {
-			void this.#giveBack(request, response, requestId, refusal);
+			void this.#refuseClaimed(request, response, requestId, refusal);
 		});
-		this.#arrive(request, sink, requestId);
+		this.#submit(request, sink, requestId);
 	}
 
 	async #claim(request: RoutedRequest, requestId: string, deadlineMs: number): Promise<ClaimReply> {
 		try {
-			return await this.#parts.claims.start(request, requestId, deadlineMs + CLAIM_SLACK_MS, deadlineMs);
+			return await this.#parts.claims.claim(request, requestId, deadlineMs + CLAIM_GRACE_MS, deadlineMs);
 		} catch {
-			void this.#releaseLater(request, requestId);
-			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.NoQuorum].meaning, {code: RESULT_CODE.NoQuorum, outcome: OUTCOME.NotRun, retryAfterMs: NO_QUORUM_RETRY_MS});
+			void this.#releaseUnconfirmed(request, requestId);
+			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.NoQuorum].meaning, {code: RESULT_CODE.NoQuorum, outcome: OUTCOME.NotRun, retryAfterMs: NO_QUORUM_RETRY_AFTER_MS});
 		}
 	}
 
-	/** A claim whose commit was not confirmed may exist; the request never ran, so it is given back. */
-	async #releaseLater(request: RoutedRequest, requestId: string): Promise<void> {
+	/** Releases a claim whose commit was not confirmed, because it may exist although the request never ran. */
+	async #releaseUnconfirmed(request: RoutedRequest, requestId: string): Promise<void> {
 		try {
 			await this.#parts.claims.release(request, requestId);
 		} catch (error) {
@@ -172,14 +173,14 @@
 		}
 	}
 
-	/** Answers a resend from what the claim holds. */
-	#answerClaimed(reply: ClaimReply, response: ServerResponse, requestId: string): void {
+	/** Responds to a repeated request from its existing claim. */
+	#respondFromClaim(reply: ClaimReply, response: ServerResponse, requestId: string): void {
 		if (reply.kind === 'mismatch') {
 			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.KeyReused].meaning, {code: RESULT_CODE.KeyReused, outcome: OUTCOME.NotRun});
 		}
 
 		if (reply.kind === 'running' && !reply.isOverdue) {
-			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.InProgress].meaning, {code: RESULT_CODE.InProgress, outcome: OUTCOME.Unknown, retryAfterMs: IN_PROGRESS_RETRY_MS});
+			throw new ValeleadError(RESULT_DETAILS[RESULT_CODE.InProgress].meaning, {code: RESULT_CODE.InProgress, outcome: OUTCOME.Unknown, retryAfterMs: IN_PROGRESS_RETRY_AFTER_MS});
 		}
 
 		const {settlement} = reply;
@@ -189,17 +190,17 @@
 		}
 
 		response.setHeader('idempotent-replayed', 'true');
-		writeWholeAnswer(response, {status: settlement.status, contentType: settlement.contentType, body: Buffer.from(settlement.body)}, requestId);
+		writeCompleteResponse(response, {status: settlement.status, contentType: settlement.contentType, body: Buffer.from(settlement.body)}, requestId);
 	}
 
-	async #settle(request: RoutedRequest, response: ServerResponse, requestId: string, answer: WholeAnswer): Promise<void> {
-		await Promise.race([this.#keepAnswer(request, requestId, answer), this.#parts.timers.wait(SETTLE_WAIT_MS)]);
-		writeWholeAnswer(response, answer, requestId);
+	async #deliverOnce(request: RoutedRequest, response: ServerResponse, requestId: string, completeResponse: CompleteResponse): Promise<void> {
+		await Promise.race([this.#storeResponse(request, requestId, completeResponse), this.#parts.timers.wait(SETTLE_TIMEOUT_MS)]);
+		writeCompleteResponse(response, completeResponse, requestId);
 	}
 
-	async #keepAnswer(request: RoutedRequest, requestId: string, answer: WholeAnswer): Promise<void> {
+	async #storeResponse(request: RoutedRequest, requestId: string, completeResponse: CompleteResponse): Promise<void> {
 		try {
-			await this.#parts.claims.settle(request, requestId, answer);
+			await this.#parts.claims.settle(request, requestId, completeResponse);
 		} catch (error) {
 			this.#logUnsettled(requestId, error);
 		}
@@ -209,11 +210,11 @@
 		this.#parts.logger.warn({event: 'claim-not-settled', requestId, reason: (error as Error).message}, 'claim not settled');
 	}
 
-	/** The refusal goes out at once; the claim is settled behind it. */
-	async #giveBack(request: RoutedRequest, response: ServerResponse, requestId: string, refusal: Refusal): Promise<void> {
+	/** Sends the refusal immediately and settles the claim afterwards. */
+	async #refuseClaimed(request: RoutedRequest, response: ServerResponse, requestId: string, refusal: Refusal): Promise<void> {
 		writeRefusal(response, refusal, requestId);
 		try {
-			await (refusal.outcome === OUTCOME.NotRun ? this.#parts.claims.release(request, requestId) : this.#parts.claims.doubt(request, requestId));
+			await (refusal.outcome === OUTCOME.NotRun ? this.#parts.claims.release(request, requestId) : this.#parts.claims.settleUnknown(request, requestId));
 		} catch (error) {
 			this.#logUnsettled(requestId, error);
 		}
--- a/apps/valelead-daemon/src/entry/intent-follower.ts
+++ b/apps/valelead-daemon/src/entry/intent-follower.ts
@@ -4,7 +4,7 @@
 } from '@valelead/intent';
 import type {SessionUpdate} from '@valelead/protocol';
 
-/** A replica of the configuration that follows the leader's updates and never goes back to an older revision. */
+/** Maintains a replica of the configuration from the leader's updates. It never returns to an older revision. */
 export class IntentFollower {
 	readonly #clock: Clock;
 	#intent: Intent = newIntent();
@@ -19,7 +19,7 @@
 		return this.#intent;
 	}
 
-	/** The revision to report: -1 asks for the whole state. */
+	/** The revision to report to the leader. -1 requests a snapshot of the complete configuration. */
 	get reportedRevision(): number {
 		return this.#needsSnapshot ? -1 : this.#intent.revision;
 	}
@@ -29,15 +29,15 @@
 		return this.#clock.now() - this.#confirmedAt;
 	}
 
-	/** Takes an update that a current leader sent. Returns whether the configuration changed. */
-	take(update: SessionUpdate): boolean {
+	/** Applies an update of the current leader. Returns true if the configuration changed. */
+	applyUpdate(update: SessionUpdate): boolean {
 		const before = this.#intent.revision;
 		if (update.snapshot !== '') {
-			this.#takeSnapshot(update.snapshot);
+			this.#applySnapshot(update.snapshot);
 		}
 
 		for (const {revision, command} of update.commands) {
-			this.#takeCommand(revision, command);
+			this.#applyCommand(revision, command);
 		}
 
 		if (this.#intent.revision === update.revision) {
@@ -49,7 +49,7 @@
 		return this.#intent.revision !== before;
 	}
 
-	#takeSnapshot(snapshot: string): void {
+	#applySnapshot(snapshot: string): void {
 		const intent = decodeIntent(snapshot);
 		if (intent.revision >= this.#intent.revision) {
 			this.#intent = intent;
@@ -57,12 +57,12 @@
 		}
 	}
 
-	#takeCommand(revision: number, command: string): void {
+	#applyCommand(revision: number, command: string): void {
 		if (revision !== this.#intent.revision + 1) {
 			return;
 		}
 
 		mutateIntent(this.#intent, JSON.parse(command) as Proposal);
-		invariant(this.#intent.revision === revision, 'a replayed proposal makes the same revision');
+		invariant(this.#intent.revision === revision, 'replaying a proposal yields the revision at which it was committed');
 	}
 }
--- a/apps/valelead-daemon/src/run-daemon.ts
+++ b/apps/valelead-daemon/src/run-daemon.ts
@@ -12,7 +12,7 @@
 import {startGateway} from './gateway/start-gateway.js';
 import {exitWithLogs} from './exit-with-logs.js';
 import {newLogger} from './logger.js';
-import {loadOrExit} from './settings/load-or-exit.js';
+import {loadSettingsOrExit} from './settings/load-settings-or-exit.js';
 import {SettingsFileWatch} from './settings/settings-file-watch.js';
 import {tryLoadSettings} from './settings/try-load-settings.js';
 import type {Settings} from './settings/settings.js';
@@ -58,10 +58,10 @@
 	}
 };
 
-/** Resolves at the first stop signal; a second one ends the part at once. */
+/** Resolves at the first stop signal. A second signal stops the daemon immediately. */
 const waitForStop = (running: Stoppable, logger: Logger): Effect.Effect<void> => Effect.callback<void>(resume => {
 	let signals = 0;
-	const take = (): void => {
+	const handleSignal = (): void => {
 		signals += 1;
 		logger.info({event: 'stop-signal', signals}, 'stop signal');
 		if (signals > 1) {
@@ -72,12 +72,12 @@
 		resume(Effect.void);
 	};
 
-	process.on('SIGTERM', take);
-	process.on('SIGINT', take);
+	process.on('SIGTERM', handleSignal);
+	process.on('SIGINT', handleSignal);
 });
 
-/** What the settings file holds, or empty where it cannot be read; loading it says why. */
-const readText = (file: string): string => {
+/** Returns the text of the settings file, or an empty string if it cannot be read. The reason is reported when the settings are loaded. */
+const readTextOrEmpty = (file: string): string => {
 	try {
 		return readFileSync(file, 'utf8');
 	} catch {
@@ -85,10 +85,12 @@
 	}
 };
 
-/** A changed file is checked and logged. The part takes what it can while it runs, such as the controllers to ask; the rest takes effect at the next start. */
-const takeReload = (file: string, logger: Logger, running: Stoppable | undefined): void => {
+/**
+ * Checks a changed settings file and applies what can change at run time, such as the controller addresses. The rest takes effect at the next start.
+ */
+const handleReload = (file: string, logger: Logger, running: Stoppable | undefined): void => {
 	const settings = tryLoadSettings(file, logger);
-	logger.info({event: 'reload', settingsFile: file, isValid: settings !== undefined}, 'settings file read again; what is not taken now takes effect at the next start');
+	logger.info({event: 'reload', settingsFile: file, isValid: settings !== undefined}, 'settings file read again; settings that cannot change at run time take effect at the next start');
 	if (settings) {
 		running?.reload?.(settings);
 	}
@@ -96,18 +98,18 @@
 
 type ProgramParts = {
 	readonly file: string;
-	/** What the file held when it was read. */
+	/** The text of the file when the settings were loaded. */
 	readonly text: string;
 	readonly settings: Settings;
 	readonly logger: Logger;
 	readonly adapter: Adapter | undefined;
 };
 
-/** The daemon from its start to its planned stop. */
+/** Creates the program of the daemon, from its start to its planned stop. */
 const newProgram = ({file, text, settings, logger, adapter}: ProgramParts): Effect.Effect<void, unknown> => Effect.scoped(Effect.gen(function * () {
 	const part: {running?: Stoppable} = {};
 	const reload = (): void => {
-		takeReload(file, logger, part.running);
+		handleReload(file, logger, part.running);
 	};
 
 	process.on('SIGHUP', reload);
@@ -129,10 +131,10 @@
 	timers.stop();
 }));
 
-/** Runs the daemon with a settings file until it is stopped, and ends the process. */
+/** Runs the daemon with a settings file until it is stopped, then exits the process. */
 export const runDaemon = async (file: string, adapter?: Adapter): Promise<void> => {
-	const text = readText(file);
-	const settings = loadOrExit(file);
+	const text = readTextOrEmpty(file);
+	const settings = loadSettingsOrExit(file);
 	const logger = newLogger(settings.logLevel, {vm: settings.vm, role: settings.role});
 	try {
 		await Effect.runPromise(newProgram({
--- a/apps/valelead-daemon/src/settings/load-or-exit.ts
+++ b/apps/valelead-daemon/src/settings/load-settings-or-exit.ts
@@ -3,8 +3,8 @@
 import {loadSettings} from './load-settings.js';
 import type {Settings} from './settings.js';
 
-/** Reads a settings file, or prints its faults and ends the process. */
-export const loadOrExit = (file: string): Settings => {
+/** Loads a settings file. Prints the faults and exits the process if the file is invalid. */
+export const loadSettingsOrExit = (file: string): Settings => {
 	try {
 		return loadSettings(file);
 	} catch (error) {
