--- a/apps/valelead-daemon/src/keeping/engine-keepers.ts
+++ b/apps/valelead-daemon/src/keeping/engine-keepers.ts
@@ -15,7 +15,7 @@
 import {newEngineCopies} from '../sidecar/new-engine-copies.js';
 import {REMOTE_POLLS} from './remote-polls.js';
 
-type KeepersParts = {
+type EngineManagersOptions = {
 	readonly holder: string;
 	/** Where gateways reach this process for the engines that it gives orders to. */
 	readonly keeperAddress: string;
@@ -28,7 +28,7 @@
 	readonly logger: Logger;
 };
 
-type KeptEngine = {
+type ManagedEngine = {
 	readonly lease: HeldLease;
 	readonly startsAt: number;
 	readonly client: EngineClient;
@@ -36,129 +36,129 @@
 };
 
 /** An order is on its way for up to this long, in milliseconds, so none is given that late in a lease. */
-const LAST_ORDER_MS = 250;
+const ORDER_TRANSIT_MS = 250;
 
 /** How long the leader is told of a lease that is over, in milliseconds: longer than a late order may take. */
-const ENDED_TOLD_MS = 10_000;
+const ENDED_REPORTED_MS = 10_000;
 
 /** Gives orders to the engines of which this process holds a lease, each with a keeper of its own. */
 export class EngineKeepers {
-	readonly #parts: KeepersParts;
-	readonly #kept = new Map<string, KeptEngine>();
+	readonly #parts: EngineManagersOptions;
+	readonly #managed = new Map<string, ManagedEngine>();
 	#table: RouteTable | undefined;
 	#upstreams: readonly Upstream[] = [];
 	/** Of all leases. */
-	readonly #end: LeaseEnd;
+	readonly #leaseEnd: LeaseEnd;
 	/** When this process gave up engines that it may have ordered, by address, in monotonic milliseconds. */
-	readonly #ended = new Map<string, number>();
+	readonly #endedLeases = new Map<string, number>();
 	#isStopped = false;
 
-	constructor(parts: KeepersParts) {
+	constructor(parts: EngineManagersOptions) {
 		this.#parts = parts;
-		this.#end = new LeaseEnd({...parts, lengthMs: ORDER_LEASE_MS});
+		this.#leaseEnd = new LeaseEnd({...parts, lengthMs: ORDER_LEASE_MS});
 	}
 
 	/** What the leader is told: leases that are over are told apart. */
 	getReport(): Pick<DutyReport, 'keeperAddress' | 'leases' | 'endedLeases'> {
 		const now = this.#parts.clock.now();
-		const kept = this.#end.isOver ? [] : [...this.#kept.values()];
+		const managed = this.#leaseEnd.isOver ? [] : [...this.#managed.values()];
 		return {
 			endedLeases: this.#getEnded(now),
 			keeperAddress: this.#parts.keeperAddress,
-			leases: kept.map(({lease, startsAt}) => ({engineAddress: lease.engineAddress, fence: lease.fence, startsInMs: Math.max(0, startsAt - now)})),
+			leases: managed.map(({lease, startsAt}) => ({engineAddress: lease.engineAddress, fence: lease.fence, startsInMs: Math.max(0, startsAt - now)})),
 		};
 	}
 
 	get(engineAddress: string): EngineKeeper | undefined {
-		return this.#kept.get(engineAddress)?.keeper;
+		return this.#managed.get(engineAddress)?.keeper;
 	}
 
 	/** Takes all leases of this process. */
 	take({leases, reportedAt}: DutyGrant): void {
-		if (this.#isStopped || !this.#end.confirm(reportedAt)) {
+		if (this.#isStopped || !this.#leaseEnd.confirm(reportedAt)) {
 			return;
 		}
 
 		const granted = new Map(leases.map(lease => [lease.engineAddress, lease]));
-		for (const [address, {lease}] of this.#kept) {
+		for (const [address, {lease}] of this.#managed) {
 			if (granted.get(address)?.fence !== lease.fence) {
-				this.#drop(address);
+				this.#release(address);
 			}
 		}
 
 		for (const lease of leases) {
-			if (!this.#kept.has(lease.engineAddress)) {
-				this.#keep(lease);
+			if (!this.#managed.has(lease.engineAddress)) {
+				this.#manage(lease);
 			}
 		}
 	}
 
 	setTable(table: RouteTable): void {
 		this.#table = table;
-		for (const [address, {keeper}] of this.#kept) {
-			this.#inform(address, keeper);
+		for (const [address, {keeper}] of this.#managed) {
+			this.#updateManager(address, keeper);
 		}
 	}
 
 	setUpstreams(upstreams: readonly Upstream[]): void {
 		this.#upstreams = upstreams;
-		for (const [address, {keeper}] of this.#kept) {
-			this.#inform(address, keeper);
+		for (const [address, {keeper}] of this.#managed) {
+			this.#updateManager(address, keeper);
 		}
 	}
 
 	/** Gives no orders any more. */
 	stop(): void {
 		this.#isStopped = true;
-		for (const address of this.#kept.keys()) {
-			this.#drop(address);
+		for (const address of this.#managed.keys()) {
+			this.#release(address);
 		}
 	}
 
 	#getEnded(now: number): DutyReport['endedLeases'] {
-		for (const [address, at] of this.#ended) {
-			if (now - at > ENDED_TOLD_MS) {
-				this.#ended.delete(address);
+		for (const [address, at] of this.#endedLeases) {
+			if (now - at > ENDED_REPORTED_MS) {
+				this.#endedLeases.delete(address);
 			}
 		}
 
-		const over = this.#end.isOver ? [...this.#kept].filter(([, {startsAt}]) => startsAt < this.#end.at).map(([address]) => [address, this.#end.at] as const) : [];
-		return [...this.#ended, ...over].map(([engineAddress, at]) => ({engineAddress, agoMs: Math.max(0, now - at)}));
+		const over = this.#leaseEnd.isOver ? [...this.#managed].filter(([, {startsAt}]) => startsAt < this.#leaseEnd.at).map(([address]) => [address, this.#leaseEnd.at] as const) : [];
+		return [...this.#endedLeases, ...over].map(([engineAddress, at]) => ({engineAddress, agoMs: Math.max(0, now - at)}));
 	}
 
-	#keep(lease: HeldLease): void {
+	#manage(lease: HeldLease): void {
 		const {holder, concurrentStoreLoads, codec, timers, clock, logger} = this.#parts;
 		const {engineAddress, fence, startsInMs} = lease;
 		const client = new EngineClient(engineAddress, codec);
 		const keeper = new EngineKeeper({
-			holder, concurrentStoreLoads, client, timers, clock, logger, fence, polls: REMOTE_POLLS, getOrdersEnd: () => this.#end.at - LAST_ORDER_MS,
+			holder, concurrentStoreLoads, client, timers, clock, logger, fence, polls: REMOTE_POLLS, getOrdersEnd: () => this.#leaseEnd.at - ORDER_TRANSIT_MS,
 		});
 		const startsAt = clock.now() + startsInMs;
-		this.#kept.set(engineAddress, {
+		this.#managed.set(engineAddress, {
 			lease, startsAt, client, keeper,
 		});
 		keeper.setStart(startsAt);
-		this.#inform(engineAddress, keeper);
+		this.#updateManager(engineAddress, keeper);
 		keeper.start();
 		logger.info({
 			event: 'engine-kept', address: engineAddress, fence, startsInMs: Math.round(startsInMs),
 		}, 'this process gives the engine its orders');
 	}
 
-	#drop(address: string): void {
-		const kept = this.#kept.get(address)!;
+	#release(address: string): void {
+		const managed = this.#managed.get(address)!;
 		const now = this.#parts.clock.now();
-		this.#kept.delete(address);
-		if (kept.startsAt < now) {
-			this.#ended.set(address, Math.min(now, this.#end.at));
+		this.#managed.delete(address);
+		if (managed.startsAt < now) {
+			this.#endedLeases.set(address, Math.min(now, this.#leaseEnd.at));
 		}
 
-		kept.keeper.stop();
-		kept.client.close();
-		this.#parts.logger.info({event: 'engine-released', address, fence: kept.lease.fence}, 'this process gives the engine no more orders');
+		managed.keeper.stop();
+		managed.client.close();
+		this.#parts.logger.info({event: 'engine-released', address, fence: managed.lease.fence}, 'this process gives the engine no more orders');
 	}
 
-	#inform(address: string, keeper: EngineKeeper): void {
+	#updateManager(address: string, keeper: EngineKeeper): void {
 		const upstream = this.#upstreams.findLast(other => other.address === address);
 		if (!upstream) {
 			return;
--- a/apps/valelead-daemon/src/sidecar/engine-keeper.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-keeper.ts
@@ -7,17 +7,17 @@
 import type {EngineStatus} from '../adapter/engine-status.js';
 import {KnownRun} from './known-run.js';
 import {KnownStatus} from './known-status.js';
-import type {KeeperParts} from './keeper-parts.js';
+import type {EngineManagerOptions} from './engine-manager-options.js';
 import {LoadDelayLog} from './load-delay-log.js';
 import {Prefetcher} from './prefetcher.js';
 import {getBusyMs} from './get-busy-ms.js';
 import {newOrderRecord} from './new-order-record.js';
 import {newEngineSummary} from './new-engine-summary.js';
-import {newHoldings} from './new-holdings.js';
+import {newEngineModels} from './new-engine-models.js';
 import {StatusReader} from './status-reader.js';
 import {SummaryPublisher} from './summary-publisher.js';
-import {ToldNeeds} from './told-needs.js';
-import {TurnSchedule} from './turn-schedule.js';
+import {ReportedNeeds} from './reported-needs.js';
+import {RoundScheduler} from './round-scheduler.js';
 import {UnansweredOrders} from './unanswered-orders.js';
 import {UnloadNotice} from './unload-notice.js';
 import type {EngineSummary} from './engine-summary.js';
@@ -25,9 +25,9 @@
 
 /** Gives the engine the orders that its gateways' needs call for, one after the other, from its newest state. */
 export class EngineKeeper {
-	readonly #parts: KeeperParts;
-	readonly #needs = new ToldNeeds();
-	readonly #turns: TurnSchedule;
+	readonly #parts: EngineManagerOptions;
+	readonly #needs = new ReportedNeeds();
+	readonly #scheduler: RoundScheduler;
 	readonly #residency = newResidencyState();
 	readonly #prefetcher: Prefetcher;
 	readonly #publisher: SummaryPublisher;
@@ -42,19 +42,19 @@
 
 	readonly #unanswered = new UnansweredOrders();
 	readonly #known = new KnownStatus();
-	readonly #leaving: UnloadNotice;
+	readonly #unloadNotice: UnloadNotice;
 	/** The load in progress, and when it is expected to end. */
 	#loading: LoadInProgress | undefined;
 	/** From when on orders may be given, in monotonic milliseconds. */
 	#startsAt = Number.NEGATIVE_INFINITY;
 	readonly #stopListeners = new Set<() => void>();
 
-	constructor(parts: KeeperParts) {
+	constructor(parts: EngineManagerOptions) {
 		this.#parts = parts;
-		this.#turns = new TurnSchedule({
-			timers: parts.timers, clock: parts.clock, leastMs: parts.polls.leastMs, takeTurn: async () => this.#turn(),
+		this.#scheduler = new RoundScheduler({
+			timers: parts.timers, clock: parts.clock, minIntervalMs: parts.polls.minIntervalMs, runRound: async () => this.#runRound(),
 		});
-		this.#leaving = new UnloadNotice(parts.clock);
+		this.#unloadNotice = new UnloadNotice(parts.clock);
 		this.#prefetcher = new Prefetcher(parts);
 		this.#delays = new LoadDelayLog(parts);
 		this.#reader = new StatusReader({...parts, run: this.#run});
@@ -62,11 +62,11 @@
 	}
 
 	start(): void {
-		this.#turns.wake();
+		this.#scheduler.wake();
 	}
 
 	stop(): void {
-		this.#turns.stop();
+		this.#scheduler.stop();
 		for (const listener of this.#stopListeners) {
 			listener();
 		}
@@ -87,15 +87,15 @@
 
 	setCapacity(capacity: Capacity | undefined): void {
 		this.#capacity = capacity;
-		this.#turns.wake();
+		this.#scheduler.wake();
 	}
 
 	/** Learns which run of the engine announced itself; an earlier one than is known changes nothing. */
 	setRun(run: Run): void {
 		const before = this.#run.id;
-		this.#run.take(run);
+		this.#run.update(run);
 		if (this.#run.id !== before) {
-			this.#turns.wake();
+			this.#scheduler.wake();
 		}
 	}
 
@@ -103,7 +103,7 @@
 	setAnnounced(upstream: Upstream): void {
 		if (upstream.id === this.#run.id && this.#known.takeAnnounced(upstream, this.#parts.clock.now())) {
 			this.#loading = undefined;
-			this.#turns.wake();
+			this.#scheduler.wake();
 		}
 	}
 
@@ -119,13 +119,13 @@
 
 	/** Takes the whole need of the gateway at the other end of a stream. */
 	setNeeds(streamId: string, needs: readonly UnitNeed[]): void {
-		const toldAt = this.#parts.clock.now();
-		this.#needs.set(streamId, needs, toldAt);
-		mutateLastUsedAt(this.#residency, needs, toldAt);
+		const reportedAt = this.#parts.clock.now();
+		this.#needs.set(streamId, needs, reportedAt);
+		mutateLastUsedAt(this.#residency, needs, reportedAt);
 		this.#prefetcher.noteNeeds(needs);
 		this.#publisher.publishSoon();
 		if (needs.some(need => need.waiting > 0)) {
-			this.#turns.wake();
+			this.#scheduler.wake();
 		}
 	}
 
@@ -144,11 +144,11 @@
 			upstreamId: this.#run.id,
 			status,
 			capacity: this.#capacity,
-			holdings: this.#getHoldings(status),
+			engine: this.#getEngineModels(status),
 			needs: this.#getNeeds(),
-			leaving: this.#leaving.order,
+			unloading: this.#unloadNotice.order,
 			loading: this.#loading,
-			getWantedMs: model => getModelWaitMs(this.#residency, model),
+			getModelWaitMs: model => getModelWaitMs(this.#residency, model),
 			now: this.#parts.clock.now(),
 		});
 	}
@@ -156,14 +156,14 @@
 	/** What was known of the run before ends with it: the next one holds nothing of it and counts its orders anew. */
 	#forgetRun(): void {
 		this.#known.reset();
-		this.#leaving.end();
+		this.#unloadNotice.end();
 		this.#loading = undefined;
 		this.#reader.expire();
 	}
 
-	#getHoldings(status: EngineStatus): EngineModels {
-		const lateLoads = this.#unanswered.getPossible(this.#run.id, status.orderSequence, this.#parts.clock.now());
-		return newHoldings(status, this.#prefetcher.replicated, lateLoads);
+	#getEngineModels(status: EngineStatus): EngineModels {
+		const unconfirmedLoads = this.#unanswered.getPossible(this.#run.id, status.orderSequence, this.#parts.clock.now());
+		return newEngineModels(status, this.#prefetcher.loadedElsewhere, unconfirmedLoads);
 	}
 
 	#getNeeds(): UnitNeed[] {
@@ -171,11 +171,11 @@
 	}
 
 	/** One turn: asks the engine for its state, decides and orders; returns when the next one is due. */
-	async #turn(): Promise<number> {
+	async #runRound(): Promise<number> {
 		const {polls} = this.#parts;
 		if (!this.#isFresh()) {
 			const status = await this.#reader.read();
-			if (!status || this.#turns.isStopped) {
+			if (!status || this.#scheduler.isStopped) {
 				return polls.idleMs;
 			}
 
@@ -188,7 +188,7 @@
 		this.#publisher.publish();
 		if (!order) {
 			const {isBusy, pending} = this.#known.value!;
-			return isBusy || pending.length > 0 ? this.#getBusyMs() : this.#getRestMs();
+			return isBusy || pending.length > 0 ? this.#getBusyMs() : this.#getPollMs();
 		}
 
 		const noticeMs = order.kind === ORDER_KIND.Unload ? this.#giveNotice(order) : 0;
@@ -196,7 +196,7 @@
 			return noticeMs;
 		}
 
-		this.#leaving.end();
+		this.#unloadNotice.end();
 		const result = await this.#order(order);
 		if (result === ORDER_RESULT.Conflict) {
 			return polls.adapterMs;
@@ -209,13 +209,13 @@
 		return getBusyMs(this.#parts.polls, this.#loading, this.#parts.clock.now());
 	}
 
-	#getRestMs(): number {
-		return this.#needs.isWaiting ? this.#parts.polls.busyMs : this.#parts.polls.idleMs;
+	#getPollMs(): number {
+		return this.#needs.hasWaitingRequests ? this.#parts.polls.busyMs : this.#parts.polls.idleMs;
 	}
 
 	/** Whether the engine need not be asked before the next decision. */
 	#isFresh(): boolean {
-		return this.#known.isCurrent && this.#reader.ageMs < this.#parts.polls.freshMs;
+		return this.#known.isCurrent && this.#reader.ageMs < this.#parts.polls.maxStatusAgeMs;
 	}
 
 	#decide(): EngineOrder | undefined {
@@ -228,8 +228,8 @@
 		const needs = this.#getNeeds();
 		mutateModelWaits(this.#residency, needs, now);
 		const fetched = this.#prefetcher.getNeeds(this.#run.id, [...this.#capacity.models.keys()]);
-		const holdings = this.#getHoldings(this.#known.value!);
-		const step = getNextStep(this.#residency, this.#capacity, holdings, [...needs, ...fetched], now);
+		const engine = this.#getEngineModels(this.#known.value!);
+		const step = getNextStep(this.#residency, this.#capacity, engine, [...needs, ...fetched], now);
 		switch (step.kind) {
 			case 'order': {
 				return step.order;
@@ -237,7 +237,7 @@
 
 			case 'delay': {
 				this.#delays.note(step.load, {
-					upstreamId: this.#run.id, capacity: this.#capacity, holdings, needs, wantedMs: getModelWaitMs(this.#residency, step.load.model),
+					upstreamId: this.#run.id, capacity: this.#capacity, engine, needs, modelWaitMs: getModelWaitMs(this.#residency, step.load.model),
 				});
 				return undefined;
 			}
@@ -254,11 +254,11 @@
 
 	/** Tells gateways of an unload; returns when to look again whether it may be ordered, in milliseconds. */
 	#giveNotice(order: EngineOrder): number {
-		if (this.#leaving.begin(order)) {
+		if (this.#unloadNotice.begin(order)) {
 			this.#publisher.publish();
 		}
 
-		return this.#leaving.waitMs;
+		return this.#unloadNotice.waitMs;
 	}
 
 	async #order(order: EngineOrder): Promise<OrderResultValue> {
@@ -274,7 +274,7 @@
 			expectedSequence,
 			tookMs: this.#parts.clock.now() - startedAt,
 			capacity: this.#capacity!,
-			holdings: this.#getHoldings(status),
+			engine: this.#getEngineModels(status),
 			needs: this.#getNeeds(),
 			residency: this.#residency,
 		}), 'engine ordered');
@@ -288,7 +288,7 @@
 		}
 
 		const isLoad = order.kind === ORDER_KIND.Load && order.adapter === '' && reply.result === ORDER_RESULT.Accepted;
-		this.#loading = isLoad ? this.#noteLoad(order.model, status, startedAt) : undefined;
+		this.#loading = isLoad ? this.#newLoadInProgress(order.model, status, startedAt) : undefined;
 		if (reply.result === ORDER_RESULT.Accepted) {
 			this.#known.noteTaken(order, expectedSequence, startedAt);
 		} else {
@@ -296,18 +296,18 @@
 		}
 
 		if (reply.result === ORDER_RESULT.OtherEngine && reply.instanceId !== '') {
-			this.#run.take({instanceId: reply.instanceId, bornAt: 0});
+			this.#run.update({instanceId: reply.instanceId, bornAt: 0});
 		}
 
 		return reply.result;
 	}
 
 	/** The load that has begun. What loads from copies count decides later whether one from the weight store may begin. */
-	#noteLoad(model: string, status: EngineStatus, startedAt: number): LoadInProgress {
+	#newLoadInProgress(model: string, status: EngineStatus, startedAt: number): LoadInProgress {
 		const capacity = this.#capacity!;
-		const holdings = this.#getHoldings(status);
-		const loadMs = getLoadMs(capacity, holdings, model);
-		const isFetch = isStoreLoad(capacity, holdings, model);
+		const engine = this.#getEngineModels(status);
+		const loadMs = getLoadMs(capacity, engine, model);
+		const isFetch = isStoreLoad(capacity, engine, model);
 		if (!isFetch) {
 			mutateCopyLoadRate(this.#residency, getLoadValue(getWaits(this.#getNeeds(), model), loadMs), startedAt);
 		}
--- a/apps/valelead-daemon/src/sidecar/keeper-parts.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-manager-options.ts
@@ -1,10 +1,10 @@
 import type {Clock, TimerService} from '@valelead/common';
 import type {Logger} from 'pino';
 import type {EnginePort} from './engine-port.js';
-import type {PollTimes} from './poll-times.js';
+import type {PollIntervals} from './poll-intervals.js';
 
 /** What a keeper of an engine works with. */
-export type KeeperParts = {
+export type EngineManagerOptions = {
 	readonly holder: string;
 	/** Engines that fetch from the weight store at once, over the installation, while they are idle. */
 	readonly concurrentStoreLoads: number;
@@ -14,7 +14,7 @@
 	readonly logger: Logger;
 	/** The fencing number of the orders. */
 	readonly fence: number;
-	readonly polls: PollTimes;
+	readonly polls: PollIntervals;
 	/** Until when orders may be given, in monotonic milliseconds; for ever where nobody else may. */
 	readonly getOrdersEnd?: () => number;
 };
--- a/apps/valelead-daemon/src/sidecar/is-significant-change.ts
+++ b/apps/valelead-daemon/src/sidecar/is-significant-change.ts
@@ -1,10 +1,10 @@
 import type {EngineSummary} from './engine-summary.js';
 
 /** A change of a count by this much, or by this part of it, is told without waiting; the choice among replicas turns on no less. */
-const LEAST_CHANGE = 2;
-const CHANGE_SHARE = 0.25;
+const MIN_CHANGE = 2;
+const MIN_CHANGE_SHARE = 0.25;
 
-const hasChanged = (before: number, after: number): boolean => Math.abs(after - before) >= Math.max(LEAST_CHANGE, before * CHANGE_SHARE);
+const hasChanged = (before: number, after: number): boolean => Math.abs(after - before) >= Math.max(MIN_CHANGE, before * MIN_CHANGE_SHARE);
 
 const getWaiting = ({loads}: EngineSummary): number => loads.reduce((sum, load) => sum + load.waiting, 0);
 
--- a/apps/valelead-daemon/src/sidecar/known-run.ts
+++ b/apps/valelead-daemon/src/sidecar/known-run.ts
@@ -26,7 +26,7 @@
 	}
 
 	/** Learns of a run; returns false where it is an earlier one than is known. */
-	take({instanceId, bornAt}: Run): boolean {
+	update({instanceId, bornAt}: Run): boolean {
 		const run = {instanceId, bornAt};
 		if (isOlderRun(run, this.#run)) {
 			return false;
@@ -41,9 +41,9 @@
 	}
 
 	/** Learns from an answer which run gave it, as far as the answer tells; returns false where it was an earlier one than is known. */
-	takeAnswer({status, instanceId}: StatusReply): boolean {
+	updateFromStatus({status, instanceId}: StatusReply): boolean {
 		const isOther = instanceId !== '' && instanceId !== this.#run.instanceId;
 		const knownBornAt = isOther ? 0 : this.#run.bornAt;
-		return this.take({instanceId: isOther ? instanceId : this.#run.instanceId, bornAt: status.bornAt === 0 ? knownBornAt : status.bornAt});
+		return this.update({instanceId: isOther ? instanceId : this.#run.instanceId, bornAt: status.bornAt === 0 ? knownBornAt : status.bornAt});
 	}
 }
--- a/apps/valelead-daemon/src/sidecar/known-status.ts
+++ b/apps/valelead-daemon/src/sidecar/known-status.ts
@@ -6,7 +6,7 @@
 type AnnouncedModels = Pick<Upstream, 'models' | 'copiesInMemory' | 'copiesOnDisk'>;
 
 /** An order that the engine took, and what shows that it knows of it. */
-type TakenOrder = {
+type AcceptedOrder = {
 	readonly order: EngineOrder;
 	/** The count of orders that its state has from then on. */
 	readonly sequence: number;
@@ -17,9 +17,9 @@
 /** How long a state that lacks the last order, or its end, is not believed, in milliseconds: states are some hundred milliseconds old. */
 const STALE_MS = 1000;
 
-const isShown = ({kind, model, adapter}: EngineOrder, {models}: AnnouncedModels): boolean => {
-	const isHeld = models.some(held => held.name === model);
-	return adapter === '' && isHeld === (kind === ORDER_KIND.Load);
+const isDoneIn = ({kind, model, adapter}: EngineOrder, {models}: AnnouncedModels): boolean => {
+	const isLoaded = models.some(loaded => loaded.name === model);
+	return adapter === '' && isLoaded === (kind === ORDER_KIND.Load);
 };
 
 /**
@@ -29,7 +29,7 @@
  */
 export class KnownStatus {
 	#status: EngineStatus | undefined;
-	#taken: TakenOrder | undefined;
+	#accepted: AcceptedOrder | undefined;
 	/** Whether an announcement has shown that the last order is done, which a state may not show yet. */
 	#isDone = false;
 
@@ -39,24 +39,24 @@
 
 	/** Whether what is known shows the last order. */
 	get isCurrent(): boolean {
-		return this.#status !== undefined && this.#status.orderSequence >= (this.#taken?.sequence ?? 0);
+		return this.#status !== undefined && this.#status.orderSequence >= (this.#accepted?.sequence ?? 0);
 	}
 
 	/** Forgets all: another run of the engine holds and knows nothing of before. */
 	reset(): void {
 		this.#status = undefined;
-		this.#taken = undefined;
+		this.#accepted = undefined;
 		this.#isDone = false;
 	}
 
 	noteTaken(order: EngineOrder, expectedSequence: number, now: number): void {
-		this.#taken = {order, sequence: expectedSequence + 1, until: now + STALE_MS};
+		this.#accepted = {order, sequence: expectedSequence + 1, until: now + STALE_MS};
 		this.#isDone = false;
 	}
 
 	/** Takes a state that the engine told; returns whether what is known now may be decided on. */
 	take(status: EngineStatus, now: number): boolean {
-		if (!this.#isOld(status, now)) {
+		if (!this.#isStale(status, now)) {
 			this.#status = status;
 			this.#isDone = false;
 			return true;
@@ -67,24 +67,24 @@
 
 	/** Takes what the engine announced; returns whether it shows the end of the last order. */
 	takeAnnounced(announced: AnnouncedModels, now: number): boolean {
-		if (!this.#status || !this.#taken || this.#isDone || !isShown(this.#taken.order, announced)) {
+		if (!this.#status || !this.#accepted || this.#isDone || !isDoneIn(this.#accepted.order, announced)) {
 			return false;
 		}
 
 		const {models, copiesInMemory, copiesOnDisk} = announced;
 		this.#isDone = true;
-		this.#taken = {...this.#taken, until: now + STALE_MS};
+		this.#accepted = {...this.#accepted, until: now + STALE_MS};
 		this.#status = {
-			...this.#status, models, copiesInMemory, copiesOnDisk, isBusy: false, orderSequence: this.#taken.sequence,
+			...this.#status, models, copiesInMemory, copiesOnDisk, isBusy: false, orderSequence: this.#accepted.sequence,
 		};
 		return true;
 	}
 
-	#isOld({orderSequence, isBusy}: EngineStatus, now: number): boolean {
-		if (!this.#taken || now >= this.#taken.until) {
+	#isStale({orderSequence, isBusy}: EngineStatus, now: number): boolean {
+		if (!this.#accepted || now >= this.#accepted.until) {
 			return false;
 		}
 
-		return orderSequence < this.#taken.sequence || (this.#isDone && isBusy && orderSequence === this.#taken.sequence);
+		return orderSequence < this.#accepted.sequence || (this.#isDone && isBusy && orderSequence === this.#accepted.sequence);
 	}
 }
--- a/apps/valelead-daemon/src/sidecar/load-delay-log.ts
+++ b/apps/valelead-daemon/src/sidecar/load-delay-log.ts
@@ -4,7 +4,7 @@
 } from '@valelead/residency';
 import type {Logger} from 'pino';
 
-type LogParts = {
+type LogOptions = {
 	readonly clock: Clock;
 	readonly logger: Logger;
 };
@@ -13,10 +13,10 @@
 type DelayInputs = {
 	readonly upstreamId: string;
 	readonly capacity: Capacity;
-	readonly holdings: EngineModels;
+	readonly engine: EngineModels;
 	readonly needs: readonly UnitNeed[];
 	/** For how long requests have waited for the model, in milliseconds. */
-	readonly wantedMs: number;
+	readonly modelWaitMs: number;
 };
 
 /** A load that stays delayed, for the same reason or another, is told again after this time, in milliseconds; it bounds the lines of a sidecar. */
@@ -24,23 +24,23 @@
 
 /** Logs why a load that requests wait for does not begin. */
 export class LoadDelayLog {
-	readonly #parts: LogParts;
-	#told: DelayedLoad | undefined;
-	#toldAt = Number.NEGATIVE_INFINITY;
+	readonly #parts: LogOptions;
+	#logged: DelayedLoad | undefined;
+	#loggedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(parts: LogParts) {
+	constructor(parts: LogOptions) {
 		this.#parts = parts;
 	}
 
-	note(load: DelayedLoad, {upstreamId, capacity, holdings, needs, wantedMs}: DelayInputs): void {
+	note(load: DelayedLoad, {upstreamId, capacity, engine, needs, modelWaitMs}: DelayInputs): void {
 		const now = this.#parts.clock.now();
-		if (now - this.#toldAt < REPEAT_MS) {
+		if (now - this.#loggedAt < REPEAT_MS) {
 			return;
 		}
 
-		const isSame = this.#told?.model === load.model && this.#told.reason === load.reason;
-		this.#told = load;
-		this.#toldAt = now;
+		const isSame = this.#logged?.model === load.model && this.#logged.reason === load.reason;
+		this.#logged = load;
+		this.#loggedAt = now;
 		const waits = getWaits(needs, load.model);
 		this.#parts.logger.info({
 			event: 'load-delayed',
@@ -48,11 +48,11 @@
 			model: load.model,
 			reason: load.reason,
 			isRepeated: isSame,
-			isStoreLoad: isStoreLoad(capacity, holdings, load.model),
+			isStoreLoad: isStoreLoad(capacity, engine, load.model),
 			waiting: waits.reduce((sum, wait) => sum + wait.count, 0),
-			wantedMs: Math.round(wantedMs),
+			wantedMs: Math.round(modelWaitMs),
 			dueInMs: Math.round(Math.min(...waits.map(wait => wait.dueInMs))),
-			held: holdings.models.map(({name}) => ({
+			held: engine.models.map(({name}) => ({
 				name,
 				inProgress: needs.filter(need => need.model === name).reduce((sum, need) => sum + need.inProgress, 0),
 				waiting: needs.filter(need => need.model === name).reduce((sum, need) => sum + need.waiting, 0),
--- a/apps/valelead-daemon/src/sidecar/new-engine-summary.ts
+++ b/apps/valelead-daemon/src/sidecar/new-engine-summary.ts
@@ -11,13 +11,13 @@
 	readonly upstreamId: string;
 	readonly status: EngineStatus;
 	readonly capacity: Capacity | undefined;
-	readonly holdings: EngineModels;
+	readonly engine: EngineModels;
 	readonly needs: readonly UnitNeed[];
 	/** What is about to be unloaded; it is not offered any more. */
-	readonly leaving: EngineOrder | undefined;
+	readonly unloading: EngineOrder | undefined;
 	readonly loading: LoadInProgress | undefined;
 	/** For how long requests have waited for a model, in milliseconds. */
-	readonly getWantedMs: (model: string) => number;
+	readonly getModelWaitMs: (model: string) => number;
 	readonly now: number;
 };
 
@@ -26,24 +26,24 @@
 
 const getRounded = (milliseconds: number): number => Math.ceil(milliseconds / REMAINING_STEP_MS) * REMAINING_STEP_MS;
 
-const getOfferedModels = ({status, needs, leaving}: SummaryParts): EngineSummary['models'] => status.models
-	.filter(model => !(leaving?.adapter === '' && leaving.model === model.name))
+const getOfferedModels = ({status, needs, unloading}: SummaryParts): EngineSummary['models'] => status.models
+	.filter(model => !(unloading?.adapter === '' && unloading.model === model.name))
 	.map(model => ({
 		name: model.name,
 		version: model.version,
 		inProgress: needs.filter(need => need.model === model.name).reduce((sum, need) => sum + need.inProgress, 0),
-		adapters: model.adapters.filter(adapter => !(leaving?.model === model.name && leaving.adapter === adapter)),
+		adapters: model.adapters.filter(adapter => !(unloading?.model === model.name && unloading.adapter === adapter)),
 	}));
 
 const getWaiting = (needs: readonly UnitNeed[], model: string): number => needs.filter(need => need.model === model).reduce((sum, need) => sum + need.waiting, 0);
 
-const getLoads = ({status, capacity, holdings, needs, loading, getWantedMs, now}: SummaryParts): ModelLoad[] => {
+const getLoads = ({status, capacity, engine, needs, loading, getModelWaitMs, now}: SummaryParts): ModelLoad[] => {
 	if (!capacity) {
 		return [];
 	}
 
-	const held = new Set(holdings.models.map(model => model.name));
-	const getModelMs = (model: string): number => getLoadMs(capacity, holdings, model);
+	const loaded = new Set(engine.models.map(model => model.name));
+	const getModelMs = (model: string): number => getLoadMs(capacity, engine, model);
 	const current = status.isBusy ? loading : undefined;
 	let remainingMs = current ? getRemainingMs(current, now) : 0;
 	const loads = current
@@ -52,7 +52,7 @@
 		}]
 		: [];
 	for (const model of getLoadQueue({
-		loaded: held, needs, getLoadMs: getModelMs, getModelWaitMs: getWantedMs,
+		loaded, needs, getLoadMs: getModelMs, getModelWaitMs,
 	})) {
 		if (model !== current?.model && capacity.models.has(model)) {
 			remainingMs += getModelMs(model);
--- a/apps/valelead-daemon/src/sidecar/poll-times.ts
+++ b/apps/valelead-daemon/src/sidecar/poll-intervals.ts
@@ -1,5 +1,5 @@
 /** How often an engine is asked for its state, in milliseconds. */
-export type PollTimes = {
+export type PollIntervals = {
 	/** While nothing is to be done. */
 	readonly idleMs: number;
 	/** While an order is carried out or something waits. */
@@ -9,7 +9,7 @@
 	/** While an adapter loads. */
 	readonly adapterMs: number;
 	/** A state that was told this long ago, and that the last order shows in, is decided on without asking anew. */
-	readonly freshMs: number;
+	readonly maxStatusAgeMs: number;
 	/** The least time between two decisions. */
-	readonly leastMs: number;
+	readonly minIntervalMs: number;
 };
--- a/apps/valelead-daemon/src/sidecar/prefetcher.ts
+++ b/apps/valelead-daemon/src/sidecar/prefetcher.ts
@@ -13,7 +13,7 @@
 const IDLE_MS = 3000;
 
 /** No request has waited for a load for this long before an engine fetches copies that it is short of, in milliseconds. */
-const NOTHING_WAITS_MS = 1000;
+const NO_WAITING_MS = 1000;
 
 /** The engines that announce themselves must not have changed for this long, in milliseconds, as each works out who fetches what. */
 const ENGINES_SETTLED_MS = 2000;
@@ -33,17 +33,17 @@
 	#engines: readonly EngineCopies[] = [];
 	#engineIds = '';
 	#enginesChangedAt = Number.NEGATIVE_INFINITY;
-	#replicated: ReadonlySet<string> = new Set();
-	#neededAt = Number.NEGATIVE_INFINITY;
-	#waitedAt = Number.NEGATIVE_INFINITY;
+	#loadedElsewhere: ReadonlySet<string> = new Set();
+	#lastNeededAt = Number.NEGATIVE_INFINITY;
+	#lastWaitedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(parts: PrefetcherParts) {
 		this.#parts = parts;
 	}
 
 	/** Models that other engines hold as well. */
-	get replicated(): ReadonlySet<string> {
-		return this.#replicated;
+	get loadedElsewhere(): ReadonlySet<string> {
+		return this.#loadedElsewhere;
 	}
 
 	/** Learns what the engines of the service keep, the own one among them. */
@@ -52,14 +52,14 @@
 		this.#enginesChangedAt = ids === this.#engineIds ? this.#enginesChangedAt : this.#parts.clock.now();
 		this.#engineIds = ids;
 		this.#engines = engines;
-		this.#replicated = new Set(engines.filter(engine => engine.upstreamId !== upstreamId).flatMap(engine => [...engine.loaded]));
+		this.#loadedElsewhere = new Set(engines.filter(engine => engine.upstreamId !== upstreamId).flatMap(engine => [...engine.loaded]));
 	}
 
 	/** Notes what a gateway needs of the engine. */
 	noteNeeds(needs: readonly UnitNeed[]): void {
 		const now = this.#parts.clock.now();
-		this.#neededAt = needs.length > 0 ? now : this.#neededAt;
-		this.#waitedAt = needs.some(need => need.waiting > 0) ? now : this.#waitedAt;
+		this.#lastNeededAt = needs.length > 0 ? now : this.#lastNeededAt;
+		this.#lastWaitedAt = needs.some(need => need.waiting > 0) ? now : this.#lastWaitedAt;
 	}
 
 	/**
@@ -72,10 +72,10 @@
 			return [];
 		}
 
-		const kept = [...this.#replicated].map(name => ({...NO_NEED, model: name, inProgress: 1}));
+		const keptLoaded = [...this.#loadedElsewhere].map(name => ({...NO_NEED, model: name, inProgress: 1}));
 		return [{
 			...NO_NEED, model, waiting: 1, waits: [PREFETCH_WAIT],
-		}, ...kept];
+		}, ...keptLoaded];
 	}
 
 	#choose(upstreamId: string, models: readonly string[]): string | undefined {
@@ -85,8 +85,8 @@
 		}
 
 		const {concurrentStoreLoads} = this.#parts;
-		const missing = now - this.#neededAt > IDLE_MS ? getPrefetch(upstreamId, models, this.#engines, concurrentStoreLoads) : undefined;
-		if (missing !== undefined || now - this.#waitedAt <= NOTHING_WAITS_MS) {
+		const missing = now - this.#lastNeededAt > IDLE_MS ? getPrefetch(upstreamId, models, this.#engines, concurrentStoreLoads) : undefined;
+		if (missing !== undefined || now - this.#lastWaitedAt <= NO_WAITING_MS) {
 			return missing;
 		}
 
--- a/apps/valelead-daemon/src/sidecar/reach-log.ts
+++ b/apps/valelead-daemon/src/sidecar/reachability-log.ts
@@ -1,7 +1,7 @@
 import type {Logger} from 'pino';
 
 /** Logs when an engine is lost and when it answers again. */
-export class ReachLog {
+export class ReachabilityLog {
 	readonly #logger: Logger;
 	#isReachable = true;
 
--- a/apps/valelead-daemon/src/sidecar/turn-schedule.ts
+++ b/apps/valelead-daemon/src/sidecar/round-scheduler.ts
@@ -1,25 +1,25 @@
 import type {Clock, TimerService, TimerSubscription} from '@valelead/common';
 
-type ScheduleParts = {
+type SchedulerOptions = {
 	readonly timers: TimerService;
 	readonly clock: Clock;
 	/** The least time between the beginnings of two turns, in milliseconds. */
-	readonly leastMs: number;
+	readonly minIntervalMs: number;
 	/** Takes a turn and returns when the next one is due, in milliseconds. */
-	readonly takeTurn: () => Promise<number>;
+	readonly runRound: () => Promise<number>;
 };
 
 /** Takes turns one after the other: when the last one said, or at once when something has happened. */
-export class TurnSchedule {
-	readonly #parts: ScheduleParts;
+export class RoundScheduler {
+	readonly #parts: SchedulerOptions;
 	#timer: TimerSubscription | undefined;
 	#startedAt = Number.NEGATIVE_INFINITY;
 	#isRunning = false;
 	/** Whether something has happened during the present turn. */
-	#isAgain = false;
+	#isWoken = false;
 	#isStopped = false;
 
-	constructor(parts: ScheduleParts) {
+	constructor(parts: SchedulerOptions) {
 		this.#parts = parts;
 	}
 
@@ -35,7 +35,7 @@
 	/** The next turn is due at once. */
 	wake(): void {
 		if (this.#isRunning) {
-			this.#isAgain = true;
+			this.#isWoken = true;
 			return;
 		}
 
@@ -44,8 +44,8 @@
 
 	#runAfter(waitMs: number): void {
 		this.#timer?.cancel();
-		const restMs = this.#startedAt + this.#parts.leastMs - this.#parts.clock.now();
-		const dueMs = Math.max(waitMs, restMs);
+		const minWaitMs = this.#startedAt + this.#parts.minIntervalMs - this.#parts.clock.now();
+		const dueMs = Math.max(waitMs, minWaitMs);
 		if (dueMs <= 0) {
 			void this.#run();
 			return;
@@ -62,10 +62,10 @@
 		}
 
 		this.#isRunning = true;
-		this.#isAgain = false;
+		this.#isWoken = false;
 		this.#startedAt = this.#parts.clock.now();
-		const waitMs = await this.#parts.takeTurn();
+		const waitMs = await this.#parts.runRound();
 		this.#isRunning = false;
-		this.#runAfter(this.#isAgain ? 0 : waitMs);
+		this.#runAfter(this.#isWoken ? 0 : waitMs);
 	}
 }
--- a/apps/valelead-daemon/src/sidecar/status-reader.ts
+++ b/apps/valelead-daemon/src/sidecar/status-reader.ts
@@ -1,11 +1,11 @@
 import type {Clock} from '@valelead/common';
 import type {Logger} from 'pino';
 import type {EngineStatus} from '../adapter/engine-status.js';
-import {ReachLog} from './reach-log.js';
+import {ReachabilityLog} from './reachability-log.js';
 import type {EnginePort} from './engine-port.js';
 import type {KnownRun} from './known-run.js';
 
-type ReaderParts = {
+type ReaderOptions = {
 	readonly client: EnginePort;
 	readonly clock: Clock;
 	readonly logger: Logger;
@@ -14,13 +14,13 @@
 
 /** Asks an engine for its state, learns from the answer which run gave it, and remembers when it was asked. */
 export class StatusReader {
-	readonly #parts: ReaderParts;
-	readonly #reach: ReachLog;
+	readonly #parts: ReaderOptions;
+	readonly #reach: ReachabilityLog;
 	#askedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(parts: ReaderParts) {
+	constructor(parts: ReaderOptions) {
 		this.#parts = parts;
-		this.#reach = new ReachLog(parts.logger);
+		this.#reach = new ReachabilityLog(parts.logger);
 	}
 
 	/** Since the engine was asked last, in milliseconds. */
@@ -40,7 +40,7 @@
 			this.#askedAt = clock.now();
 			const reply = await client.getStatus();
 			this.#reach.note(true, run.id, '');
-			return run.takeAnswer(reply) ? reply.status : undefined;
+			return run.updateFromStatus(reply) ? reply.status : undefined;
 		} catch (error) {
 			this.#reach.note(false, run.id, (error as Error).message);
 			return undefined;
--- a/apps/valelead-daemon/src/sidecar/summary-publisher.ts
+++ b/apps/valelead-daemon/src/sidecar/summary-publisher.ts
@@ -2,7 +2,7 @@
 import {isSignificantChange} from './is-significant-change.js';
 import type {EngineSummary} from './engine-summary.js';
 
-type PublisherParts = {
+type PublisherOptions = {
 	readonly timers: TimerService;
 	readonly clock: Clock;
 	readonly getSummary: () => EngineSummary | undefined;
@@ -15,8 +15,8 @@
 const COALESCE_PER_FOLLOWER_MS = 8;
 
 /** The bounds of that time, in milliseconds. */
-const LEAST_COALESCE_MS = 60;
-const MOST_COALESCE_MS = 1000;
+const MIN_COALESCE_MS = 60;
+const MAX_COALESCE_MS = 1000;
 
 /** A small change is told after this time, in milliseconds, or together with a larger one. */
 const SMALL_CHANGE_MS = 1000;
@@ -27,18 +27,18 @@
 
 /** Tells followers what the engine offers: at once where that changes, and some time later where only counts do. */
 export class SummaryPublisher {
-	readonly #parts: PublisherParts;
+	readonly #parts: PublisherOptions;
 	readonly #listeners = new Set<(summary: EngineSummary) => void>();
 	readonly #changes: Coalescer;
-	#told: EngineSummary | undefined;
-	#toldText = '';
-	#toldOffer = '';
-	#toldAt = Number.NEGATIVE_INFINITY;
+	#published: EngineSummary | undefined;
+	#publishedText = '';
+	#publishedOffer = '';
+	#publishedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(parts: PublisherParts) {
+	constructor(parts: PublisherOptions) {
 		this.#parts = parts;
 		this.#changes = new Coalescer(parts.timers, () => this.#getCoalesceMs(), now => {
-			this.#tellChange(now);
+			this.#publishChange(now);
 		});
 	}
 
@@ -54,13 +54,13 @@
 	publish(): void {
 		const summary = this.#parts.getSummary();
 		const offer = JSON.stringify(summary && getOffer(summary));
-		if (offer === this.#toldOffer) {
+		if (offer === this.#publishedOffer) {
 			this.publishSoon();
 			return;
 		}
 
-		this.#toldOffer = offer;
-		this.#tell(summary, JSON.stringify(summary));
+		this.#publishedOffer = offer;
+		this.#notify(summary, JSON.stringify(summary));
 	}
 
 	/** Counts may have changed. */
@@ -69,28 +69,28 @@
 	}
 
 	#getCoalesceMs(): number {
-		return Math.min(MOST_COALESCE_MS, Math.max(LEAST_COALESCE_MS, this.#listeners.size * COALESCE_PER_FOLLOWER_MS));
+		return Math.min(MAX_COALESCE_MS, Math.max(MIN_COALESCE_MS, this.#listeners.size * COALESCE_PER_FOLLOWER_MS));
 	}
 
-	#tellChange(now: number): void {
+	#publishChange(now: number): void {
 		const summary = this.#parts.getSummary();
 		const text = JSON.stringify(summary);
-		if (!summary || text === this.#toldText) {
+		if (!summary || text === this.#publishedText) {
 			return;
 		}
 
-		if (isSignificantChange(this.#told, summary) || now - this.#toldAt >= SMALL_CHANGE_MS) {
-			this.#tell(summary, text);
+		if (isSignificantChange(this.#published, summary) || now - this.#publishedAt >= SMALL_CHANGE_MS) {
+			this.#notify(summary, text);
 			return;
 		}
 
 		this.publishSoon();
 	}
 
-	#tell(summary: EngineSummary | undefined, text: string): void {
-		this.#told = summary;
-		this.#toldText = text;
-		this.#toldAt = this.#parts.clock.now();
+	#notify(summary: EngineSummary | undefined, text: string): void {
+		this.#published = summary;
+		this.#publishedText = text;
+		this.#publishedAt = this.#parts.clock.now();
 		if (!summary) {
 			return;
 		}
--- a/packages/discovery/src/directory-entry.ts
+++ b/packages/discovery/src/directory-entry.ts
@@ -4,7 +4,7 @@
 export type DirectoryEntry = {
 	upstream: Upstream;
 	/** Monotonic time of the last announcement, in milliseconds. */
-	heardAt: number;
+	announcedAt: number;
 	/** The directory's version at the last change that followers must learn. */
 	version: number;
 	/** The directory's version at the last change of the copies on its disk. */
--- a/packages/discovery/src/mutate-departure.ts
+++ b/packages/discovery/src/mutate-departure.ts
@@ -6,7 +6,7 @@
 import type {Run} from './run.js';
 import type {Upstream} from './upstream.js';
 
-const newUnknown = ({instanceId, bornAt}: Run): Upstream => ({
+const newUnknownUpstream = ({instanceId, bornAt}: Run): Upstream => ({
 	id: getRunId({instanceId, bornAt}),
 	instanceId,
 	bornAt,
@@ -31,7 +31,7 @@
 	const newest = getNewestRun(directory, instanceId);
 	const run = {instanceId, bornAt: bornAt === 0 ? newest?.bornAt ?? 0 : bornAt};
 	const known = directory.entries.get(getRunId(run))?.upstream;
-	const upstream = {...(known ?? newUnknown(run)), state: UPSTREAM_STATE.Gone};
+	const upstream = {...(known ?? newUnknownUpstream(run)), state: UPSTREAM_STATE.Gone};
 	mutateEntry(directory, upstream, now);
 	directory.entries.get(upstream.id)!.isReplaced = false;
 	return known;
--- a/packages/discovery/src/mutate-directory-copy.ts
+++ b/packages/discovery/src/mutate-directory-copy.ts
@@ -11,27 +11,27 @@
  */
 const mutateReplaced = (copy: DirectoryCopy, next: Upstream): void => {
 	for (const [id, {upstream, unconfirmedSince}] of copy.upstreams) {
-		const wasThere = upstream.address === next.address && unconfirmedSince !== undefined;
-		if (id !== next.id && (wasThere || isOlderRun(upstream, next))) {
+		const hadSameAddress = upstream.address === next.address && unconfirmedSince !== undefined;
+		if (id !== next.id && (hadSameAddress || isOlderRun(upstream, next))) {
 			copy.upstreams.delete(id);
 		}
 	}
 };
 
 /** Whether a later run of the upstream is known: a leader that was elected since may have heard only of an earlier one. */
-const isPast = (copy: DirectoryCopy, upstream: Upstream): boolean => [...copy.upstreams.values()].some(known => isOlderRun(upstream, known.upstream));
+const isSuperseded = (copy: DirectoryCopy, upstream: Upstream): boolean => [...copy.upstreams.values()].some(known => isOlderRun(upstream, known.upstream));
 
 /** What the follower knows of the upstream from now on. */
-const getWhole = (copy: DirectoryCopy, {areDiskCopiesUnchanged, ...upstream}: UpstreamChange): Upstream =>
+const getCompleteUpstream = (copy: DirectoryCopy, {areDiskCopiesUnchanged, ...upstream}: UpstreamChange): Upstream =>
 	areDiskCopiesUnchanged ? {...upstream, copiesOnDisk: copy.upstreams.get(upstream.id)?.upstream.copiesOnDisk ?? []} : upstream;
 
 const mutateUpstream = (copy: DirectoryCopy, change: UpstreamChange): boolean => {
-	const upstream = getWhole(copy, change);
+	const upstream = getCompleteUpstream(copy, change);
 	if (upstream.state === UPSTREAM_STATE.Gone) {
 		return copy.upstreams.delete(upstream.id);
 	}
 
-	if (isPast(copy, upstream)) {
+	if (isSuperseded(copy, upstream)) {
 		return false;
 	}
 
--- a/packages/discovery/src/mutate-entry.ts
+++ b/packages/discovery/src/mutate-entry.ts
@@ -5,13 +5,13 @@
 import type {Upstream} from './upstream.js';
 
 /** What changes with each announcement, and is no news. */
-const PASSING = {sequence: 0, remainingMs: 0};
+const VOLATILE_FIELDS = {sequence: 0, remainingMs: 0};
 
-const HOLDINGS = {models: [], copiesInMemory: [], copiesOnDisk: []};
+const MODEL_FIELDS = {models: [], copiesInMemory: [], copiesOnDisk: []};
 
-const isSame = (left: Upstream, right: Upstream): boolean => JSON.stringify({...left, ...PASSING}) === JSON.stringify({...right, ...PASSING});
+const isSame = (left: Upstream, right: Upstream): boolean => JSON.stringify({...left, ...VOLATILE_FIELDS}) === JSON.stringify({...right, ...VOLATILE_FIELDS});
 
-const isSameButHoldings = (left: Upstream, right: Upstream): boolean => isSame({...left, ...HOLDINGS}, {...right, ...HOLDINGS});
+const isSameExceptModels = (left: Upstream, right: Upstream): boolean => isSame({...left, ...MODEL_FIELDS}, {...right, ...MODEL_FIELDS});
 
 /** Whether an upstream that is there shows that a run has ended: it is an earlier run of it, or was at its address. */
 const isReplacedBy = (run: Upstream, next: Upstream): boolean =>
@@ -41,19 +41,19 @@
 	const known = directory.entries.get(upstream.id);
 	if (known && isSame(known.upstream, upstream)) {
 		known.upstream = upstream;
-		known.heardAt = now;
+		known.announcedAt = now;
 		return;
 	}
 
 	directory.version += 1;
-	if (!known || !isSameButHoldings(known.upstream, upstream)) {
+	if (!known || !isSameExceptModels(known.upstream, upstream)) {
 		directory.urgentVersion = directory.version;
 	}
 
 	mutateNewestRun(directory, upstream);
-	const hasDisk = known !== undefined && JSON.stringify(known.upstream.copiesOnDisk) === JSON.stringify(upstream.copiesOnDisk);
+	const hasSameDiskCopies = known !== undefined && JSON.stringify(known.upstream.copiesOnDisk) === JSON.stringify(upstream.copiesOnDisk);
 	directory.entries.set(upstream.id, {
-		upstream, heardAt: now, version: directory.version, diskCopiesVersion: hasDisk ? known.diskCopiesVersion : directory.version, isReplaced: false,
+		upstream, announcedAt: now, version: directory.version, diskCopiesVersion: hasSameDiskCopies ? known.diskCopiesVersion : directory.version, isReplaced: false,
 	});
 	if (upstream.state !== UPSTREAM_STATE.Gone) {
 		mutateReplaced(directory, upstream);
--- a/packages/discovery/tests/discovery.steps.ts
+++ b/packages/discovery/tests/discovery.steps.ts
@@ -78,7 +78,7 @@
 	assert.equal(getChangesSince(this.directory!, this.before).length, count);
 });
 
-const tell = (world: DiscoveryWorld, epoch: string, isWhole: boolean, upstreams: readonly Upstream[]): void => {
+const sendChange = (world: DiscoveryWorld, epoch: string, isWhole: boolean, upstreams: readonly Upstream[]): void => {
 	world.version += 1;
 	mutateDirectoryCopy(world.copy, {
 		epoch, version: world.version, isWhole, upstreams: upstreams.map(upstream => ({...upstream, areDiskCopiesUnchanged: false})),
@@ -90,29 +90,29 @@
 Given('a follower that holds upstreams {string} of leader {string}', function (this: DiscoveryWorld, ids: string, epoch: string) {
 	this.copy = newDirectoryCopy();
 	this.version = 0;
-	tell(this, epoch, true, newReady(ids));
+	sendChange(this, epoch, true, newReady(ids));
 });
 
 When('leader {string} tells it all that it knows, upstreams {string}', function (this: DiscoveryWorld, epoch: string, ids: string) {
-	tell(this, epoch, true, newReady(ids));
+	sendChange(this, epoch, true, newReady(ids));
 });
 
 When('leader {string} tells it that {string} is {string}', function (this: DiscoveryWorld, epoch: string, id: string, state: string) {
-	tell(this, epoch, false, [newAnnounced(id, state as UpstreamStateValue, 2)]);
+	sendChange(this, epoch, false, [newAnnounced(id, state as UpstreamStateValue, 2)]);
 });
 
 When('leader {string} tells it of upstream {string} at the address of {string}', function (this: DiscoveryWorld, epoch: string, id: string, other: string) {
-	tell(this, epoch, true, [newAnnounced(id, UPSTREAM_STATE.Ready, 1, this.copy.upstreams.get(other)!.upstream.address)]);
+	sendChange(this, epoch, true, [newAnnounced(id, UPSTREAM_STATE.Ready, 1, this.copy.upstreams.get(other)!.upstream.address)]);
 });
 
 Given('a follower that holds the run of {string} born at {int}', function (this: DiscoveryWorld, instanceId: string, bornAt: number) {
 	this.copy = newDirectoryCopy();
 	this.version = 0;
-	tell(this, 'one', true, [newRun(instanceId, bornAt, UPSTREAM_STATE.Ready, 1)]);
+	sendChange(this, 'one', true, [newRun(instanceId, bornAt, UPSTREAM_STATE.Ready, 1)]);
 });
 
 When('leader {string} tells it of the run of {string} born at {int}', function (this: DiscoveryWorld, epoch: string, instanceId: string, bornAt: number) {
-	tell(this, epoch, true, [newRun(instanceId, bornAt, UPSTREAM_STATE.Ready, 9)]);
+	sendChange(this, epoch, true, [newRun(instanceId, bornAt, UPSTREAM_STATE.Ready, 9)]);
 });
 
 When('{int} ms pass without more', function (this: DiscoveryWorld, milliseconds: number) {
--- a/packages/order-lease/src/lease-state.ts
+++ b/packages/order-lease/src/lease-state.ts
@@ -12,7 +12,7 @@
 	/** When holders gave up engines under leases of earlier leaders, by engine address. */
 	readonly ended: Map<string, number>;
 	/** Since when each engine that is here now has been known. */
-	readonly knownSince: Map<string, number>;
+	readonly firstSeenAt: Map<string, number>;
 	/** Leases that were granted in this term. */
-	granted: number;
+	grantedCount: number;
 };
--- a/packages/order-lease/tests/model-installation.ts
+++ b/packages/order-lease/tests/model-installation.ts
@@ -21,36 +21,36 @@
 
 const ENGINES = ['e1', 'e2'];
 const SIDECAR_FENCE = Number.MAX_SAFE_INTEGER;
-const TURN_MS = 250;
+const ROUND_MS = 250;
 const SETTINGS = {orderGapMs: 3000};
 
 /** A leader and holders of leases that give an order whenever they may, the worst that can happen. */
 export class ModelInstallation {
 	readonly #holders = new Map<string, Map<string, ModelLease>>(MODEL_VMS.map(vm => [vm, new Map()]));
 	readonly #last = new Map<string, ModelOrder>();
-	readonly #heard = new Map<string, LeaseCandidate>();
+	readonly #lastReports = new Map<string, LeaseCandidate>();
 	#state: LeaseState = newLeaseState(1, 0);
 	#now = 0;
 	#sidecarStartsAt = Number.POSITIVE_INFINITY;
 
 	/** Plays a step and fails where an engine gets orders that it must not. */
 	play(step: ModelStep): void {
-		const {silent, deaf, stopping, restarted, isLeaderNew, isSidecarStarted, turns} = step;
+		const {silent, unreachable, stopping, restarted, isLeaderNew, isSidecarStarted, rounds} = step;
 		if (isLeaderNew) {
 			this.#state = newLeaseState(this.#state.term + 1, this.#now);
-			this.#heard.clear();
+			this.#lastReports.clear();
 		}
 
 		if (restarted !== undefined) {
 			this.#holders.get(restarted)!.clear();
 		}
 
-		for (let turn = 0; turn < turns; turn += 1) {
-			this.#now += TURN_MS;
+		for (let round = 0; round < rounds; round += 1) {
+			this.#now += ROUND_MS;
 			this.#report(silent, stopping);
 			this.#noteSidecar(isSidecarStarted);
-			mutateLeases(this.#state, SETTINGS, {addresses: new Set(ENGINES), candidates: [...this.#heard.values()]}, this.#now);
-			this.#reply([...silent, ...deaf]);
+			mutateLeases(this.#state, SETTINGS, {addresses: new Set(ENGINES), candidates: [...this.#lastReports.values()]}, this.#now);
+			this.#reply([...silent, ...unreachable]);
 			this.#giveOrders();
 		}
 	}
@@ -58,7 +58,7 @@
 	#report(silent: readonly string[], stopping: readonly string[]): void {
 		for (const [vm, leases] of this.#holders) {
 			if (!silent.includes(vm)) {
-				this.#heard.set(vm, {
+				this.#lastReports.set(vm, {
 					vm, heardAt: this.#now, isStopping: stopping.includes(vm), held: this.#getHeld(leases),
 				});
 			}
--- a/packages/order-lease/tests/model-step.ts
+++ b/packages/order-lease/tests/model-step.ts
@@ -8,7 +8,7 @@
 	/** Processes whose reports are lost. */
 	silent: fc.subarray(MODEL_VMS),
 	/** Processes that get no replies. */
-	deaf: fc.subarray(MODEL_VMS),
+	unreachable: fc.subarray(MODEL_VMS),
 	/** Processes that tell that they stop. */
 	stopping: fc.subarray(MODEL_VMS),
 	restarted: fc.option(fc.constantFrom(...MODEL_VMS), {freq: 12, nil: undefined}),
@@ -16,5 +16,5 @@
 	/** Whether the sidecar of the first engine starts, where it does not run yet. */
 	isSidecarStarted: fc.nat(24).map(number => number === 0),
 	/** How many turns it lasts. */
-	turns: fc.integer({min: 1, max: 12}),
+	rounds: fc.integer({min: 1, max: 12}),
 });
