--- a/apps/valelead-daemon/tests/lane-writer.feature
+++ b/apps/valelead-daemon/tests/lane-writer.feature
@@ -1,7 +1,7 @@
-Feature: Writing an answer to an entry
-  An answer whose entry is gone is written into nothing, so that its attempt ends with the upstream's work.
+Feature: Writing a response to an entry
+  Frames of a response whose entry is gone are discarded, so that the attempt still ends when the upstream has finished.
 
-  # Guards against an agent that keeps a place for an attempt forever, and waits for it when it is told to stop.
-  Scenario: Frames for a lane that has ended hold nothing up
+  # Guards against an agent that counts an attempt as in progress forever, and waits for it when the agent is stopped.
+  Scenario: Writing frames to a lane that has ended does not block
     When 3 frames are written one after the other to a lane that has ended
-    Then all 3 were taken within 200 ms
+    Then all 3 writes completed within 200 ms
--- a/apps/valelead-daemon/tests/lane-writer.steps.ts
+++ b/apps/valelead-daemon/tests/lane-writer.steps.ts
@@ -10,7 +10,7 @@
 	taken: number;
 };
 
-/** For a frame to be written, in milliseconds. */
+/** The pause between two frames, in milliseconds. */
 const WRITE_MS = 10;
 
 const newEndedLane = (): ConstructorParameters<typeof LaneWriter>[0] => {
@@ -39,7 +39,7 @@
 	void write();
 });
 
-Then('all {int} were taken within {int} ms', async function (this: LaneWorld, count: number, limitMs: number) {
+Then('all {int} writes completed within {int} ms', async function (this: LaneWorld, count: number, limitMs: number) {
 	await wait(limitMs);
 	assert.equal(this.taken, count);
 });
--- a/apps/valelead-daemon/tests/order-start.feature
+++ b/apps/valelead-daemon/tests/order-start.feature
@@ -1,16 +1,16 @@
-Feature: When a sidecar begins to order its engine
-  # Guards against: a sidecar that forgot the wait it was told as the leader changed, and one that began before a new leader had heard of the holder.
-  Scenario Outline: A sidecar that <state> is told at 1000 ms to wait <held> ms, and that the holders are known in <known> ms
+Feature: The time from which a sidecar may send orders to its engine
+  # Guards against a sidecar that drops its wait when the leader changes, and one that begins before a new leader knows the previous lease holder.
+  Scenario Outline: A sidecar that <state> receives at 1000 ms a delay of <delay> ms, with holders known in <known> ms
     Given a sidecar that <state>
-    When a leader tells it at 1000 ms to wait <held> ms, and that the holders are known in <known> ms
-    Then it orders from <start> ms on
+    When it receives at 1000 ms a delay of <delay> ms, with holders known in <known> ms
+    Then it may send orders from <start> ms on
 
     Examples:
-      | state                   | held | known | start |
-      | has heard no leader     | 0    | 0     | 1000  |
-      | has heard no leader     | 0    | 900   | 1900  |
-      | has heard no leader     | 2600 | 900   | 3600  |
-      | waits until 4000 ms     | 0    | 0     | 4000  |
-      | waits until 1500 ms     | 0    | 900   | 1900  |
-      | has begun at 500 ms     | 0    | 900   | 500   |
-      | has begun at 500 ms     | 2600 | 0     | 3600  |
+      | state                        | delay | known | start |
+      | has had no leader            | 0     | 0     | 1000  |
+      | has had no leader            | 0     | 900   | 1900  |
+      | has had no leader            | 2600  | 900   | 3600  |
+      | must wait until 4000 ms      | 0     | 0     | 4000  |
+      | must wait until 1500 ms      | 0     | 900   | 1900  |
+      | may send orders since 500 ms | 0     | 900   | 500   |
+      | may send orders since 500 ms | 2600  | 0     | 3600  |
--- a/apps/valelead-daemon/tests/summary-publisher.steps.ts
+++ b/apps/valelead-daemon/tests/summary-publisher.steps.ts
@@ -8,15 +8,15 @@
 	time: VirtualTime;
 	publisher: SummaryPublisher;
 	held: Map<string, number>;
-	/** Times at which the first follower was told. */
+	/** Times at which the first follower received a summary. */
 	told: number[];
 	changedAt: number;
 };
 
-/** How long a small change may wait. */
+/** The longest delay of a small change, in milliseconds. */
 const SMALL_CHANGE_MS = 1000;
 
-/** Longer than any change may wait. */
+/** Longer than the delay of any change, in milliseconds. */
 const SETTLED_MS = 2000;
 
 const newSummary = (held: ReadonlyMap<string, number>): EngineSummary => ({
@@ -32,7 +32,7 @@
 	cacheShare: 0,
 });
 
-Given('a sidecar with {int} followers that told of {string} with {int} requests', function (this: PublisherWorld, followers: number, model: string, requests: number) {
+Given('a sidecar with {int} followers that has published {string} with {int} requests', function (this: PublisherWorld, followers: number, model: string, requests: number) {
 	this.time = new VirtualTime();
 	this.held = new Map([[model, requests]]);
 	this.told = [];
@@ -55,7 +55,7 @@
 	this.changedAt = this.time.now;
 });
 
-When('it holds {string}', function (this: PublisherWorld, models: string) {
+When('it loads {string}', function (this: PublisherWorld, models: string) {
 	this.held = new Map(models.split(', ').map(model => [model, 0]));
 	this.publisher.publish();
 });
@@ -65,17 +65,17 @@
 	this.publisher.publishSoon();
 });
 
-Then('it has told once more within {int} ms', function (this: PublisherWorld, limitMs: number) {
+Then('it has published one more summary within {int} ms', function (this: PublisherWorld, limitMs: number) {
 	this.time.advance(Math.max(0, this.changedAt + limitMs - this.time.now));
 	assert.equal(this.told.length, 1);
 });
 
-Then('it has told nothing more within {int} ms', function (this: PublisherWorld, limitMs: number) {
+Then('it has published no further summary within {int} ms', function (this: PublisherWorld, limitMs: number) {
 	this.time.advance(this.changedAt + limitMs - this.time.now);
 	assert.deepEqual(this.told, []);
 });
 
-Then('it has told once/twice in all within {int} ms', function (this: PublisherWorld, limitMs: number) {
+Then('it has published one/two summary/summaries in all within {int} ms', function (this: PublisherWorld, limitMs: number) {
 	this.time.advance(this.changedAt + limitMs - this.time.now);
 	assert.equal(this.told.length, limitMs > SMALL_CHANGE_MS ? 2 : 1);
 });
--- a/packages/discovery/tests/discovery.feature
+++ b/packages/discovery/tests/discovery.feature
@@ -1,5 +1,5 @@
 Feature: Discovery
-  Announcements come late, twice and out of order; what an upstream said last holds.
+  Announcements may arrive late, twice or out of order; the newest announcement of an upstream applies.
 
   Scenario: A late announcement does not undo a newer one
     Given upstream "a" at "10.0.0.1:80" announced itself as "ready" with sequence 5
@@ -7,24 +7,24 @@
     And upstream "a" announces itself as "ready" with sequence 4
     Then upstream "a" is "draining"
 
-  Scenario: A drain is never taken back
+  Scenario: A draining upstream does not become ready again
     Given upstream "a" at "10.0.0.1:80" announced itself as "draining" with sequence 5
     When upstream "a" announces itself as "ready" with sequence 6
     Then upstream "a" is "draining"
 
-  Scenario: What has left does not come back
+  Scenario: A departed run is not restored by a later announcement
     Given upstream "a" at "10.0.0.1:80" announced itself as "ready" with sequence 5
     When upstream "a" departs
     And upstream "a" announces itself as "ready" with sequence 9
     Then upstream "a" is "gone"
 
-  Scenario: Another run at the same address replaces the one before
+  Scenario: Another run at the same address replaces the previous one
     Given upstream "a" at "10.0.0.1:80" announced itself as "ready" with sequence 5
     When upstream "b" at "10.0.0.1:80" announced itself as "ready" with sequence 1
     Then upstream "a" is "gone"
     And upstream "b" is "ready"
 
-  Scenario: A run that only seemed to be replaced is back with its next announcement
+  Scenario: A run that was marked as replaced is restored by its next announcement
     Given upstream "b" at "10.0.0.1:80" announced itself as "ready" with sequence 1
     When upstream "a" at "10.0.0.1:80" announced itself as "ready" with sequence 7
     Then upstream "b" is "gone"
@@ -32,7 +32,7 @@
     Then upstream "b" is "ready"
     And upstream "a" is "gone"
 
-  Scenario: A run that was replaced and departs does not come back
+  Scenario: A replaced run that departs is not restored
     Given upstream "a" at "10.0.0.1:80" announced itself as "ready" with sequence 5
     When upstream "b" at "10.0.0.1:80" announced itself as "ready" with sequence 1
     And upstream "a" departs
@@ -40,48 +40,48 @@
     Then upstream "a" is "gone"
     And upstream "b" is "ready"
 
-  Scenario: Silence is no departure
+  Scenario: A silent upstream is usable again after its next announcement
     Given upstream "a" at "10.0.0.1:80" announced itself as "ready" with sequence 5
-    When 10000 ms pass in silence
+    When 10000 ms pass without announcements
     Then upstream "a" is "silent"
     When upstream "a" announces itself as "ready" with sequence 6
     Then upstream "a" is "ready"
 
-  Scenario: An announcement without news gives followers nothing to learn
+  Scenario: An announcement without changes is not sent to followers
     Given upstream "a" at "10.0.0.1:80" announced itself as "ready" with sequence 5
     When upstream "a" announces itself as "ready" with sequence 6
-    Then followers learn 0 changes since then
-
-  Scenario: A new leader that has not heard an upstream yet does not take it away
-    Given a follower that holds upstreams "a, b" of leader "one"
-    When leader "two" tells it all that it knows, upstreams "a"
-    Then the follower holds "a, b"
-    When 9000 ms pass without more
-    Then the follower holds "a"
-
-  Scenario: A new leader that names the next run at an address takes the one before away
-    Given a follower that holds upstreams "a, b" of leader "one"
-    When leader "two" tells it of upstream "c" at the address of "a"
-    Then the follower holds "b, c"
-
-  Scenario: A follower keeps a drain that a new leader has not heard of
-    Given a follower that holds upstreams "a" of leader "one"
-    When leader "one" tells it that "a" is "draining"
-    And leader "two" tells it that "a" is "ready"
-    Then the follower holds "a" as "draining"
-
-  Scenario: Random announcements in any order end as in their right order
+    Then 0 changes are sent to followers
+
+  Scenario: A follower keeps upstreams that a new leader has not listed yet, for a limited time
+    Given a directory copy with upstreams "a, b" of leader "one"
+    When leader "two" sends a complete update with upstreams "a"
+    Then the directory copy contains "a, b"
+    When 9000 ms pass without an update
+    Then the directory copy contains "a"
+
+  Scenario: An update of a new leader with another run at an address removes the unconfirmed run there
+    Given a directory copy with upstreams "a, b" of leader "one"
+    When leader "two" sends an update with upstream "c" at the address of "a"
+    Then the directory copy contains "b, c"
+
+  Scenario: A draining upstream stays draining when a new leader reports it as ready
+    Given a directory copy with upstreams "a" of leader "one"
+    When leader "one" sends an update that "a" is "draining"
+    And leader "two" sends an update that "a" is "ready"
+    Then the directory copy contains "a" as "draining"
+
+  Scenario: Random announcements in any order lead to the same state as in their original order
     When 300 shuffled histories of announcements are tried
     Then each ends in the state of its newest announcement
 
-  Scenario: An upstream that starts again under its id is heard at once
+  Scenario: The announcement of an upstream that restarts under the same id is accepted at once
     Given upstream "a" born at 1000 announced itself as "ready" with sequence 50
     When upstream "a" born at 2000 announces itself as "ready" with sequence 1
     Then the run of "a" born at 2000 is "ready"
     And the run of "a" born at 1000 is "gone"
-    And followers learn 2 changes since then
+    And 2 changes are sent to followers
 
-  Scenario: What was drained or left under an id does not weigh on the next run
+  Scenario: A run is not affected by the draining or departure of an earlier run with the same id
     Given upstream "a" born at 1000 announced itself as "draining" with sequence 50
     When upstream "a" born at 2000 announces itself as "ready" with sequence 1
     Then the run of "a" born at 2000 is "ready"
@@ -89,37 +89,37 @@
     And upstream "a" born at 3000 announces itself as "ready" with sequence 1
     Then the run of "a" born at 3000 is "ready"
 
-  Scenario: A late announcement of an earlier run changes nothing
+  Scenario: A late announcement of an earlier run is ignored
     Given upstream "a" born at 2000 announced itself as "ready" with sequence 1
     When upstream "a" born at 1000 announces itself as "draining" with sequence 50
     Then the run of "a" born at 2000 is "ready"
     And the run of "a" born at 1000 is unknown
 
-  Scenario: An announcement of an earlier run that was taken for the newest is not believed again
+  Scenario: An announcement of an earlier run is ignored although that run was once the newest
     Given upstream "a" born at 1000 announced itself as "ready" with sequence 50
     When upstream "a" born at 2000 announces itself as "ready" with sequence 1
     And upstream "a" born at 1000 announces itself as "ready" with sequence 51
     Then the run of "a" born at 1000 is "gone"
     And the run of "a" born at 2000 is "ready"
 
-  Scenario: A late departure of an earlier run takes nothing away
+  Scenario: A late departure of an earlier run does not affect the newest run
     Given upstream "a" born at 2000 announced itself as "ready" with sequence 1
     When the run of "a" born at 1000 departs
     Then the run of "a" born at 2000 is "ready"
 
-  Scenario: A departure that names no run is of the newest one
+  Scenario: A departure without a run applies to the newest run
     Given upstream "a" born at 1000 announced itself as "ready" with sequence 50
     When upstream "a" born at 2000 announces itself as "ready" with sequence 1
     And upstream "a" departs
     Then the run of "a" born at 2000 is "gone"
 
-  Scenario: A new leader that heard only an earlier run does not bring it back at a follower
-    Given a follower that holds the run of "a" born at 2000
-    When leader "two" tells it of the run of "a" born at 1000
-    Then the follower holds "a@2000"
-    When leader "two" tells it of the run of "a" born at 3000
-    Then the follower holds "a@3000"
+  Scenario: A follower ignores an earlier run that a new leader reports
+    Given a directory copy with the run of "a" born at 2000
+    When leader "two" sends an update with the run of "a" born at 1000
+    Then the directory copy contains "a@2000"
+    When leader "two" sends an update with the run of "a" born at 3000
+    Then the directory copy contains "a@3000"
 
-  Scenario: Random announcements of several runs end in the newest run's newest state
+  Scenario: Random announcements of several runs leave the newest run in the state of its newest announcement
     When 300 shuffled histories of announcements of several runs are tried
     Then each ends in the state of its newest announcement
--- a/packages/discovery/tests/discovery.steps.ts
+++ b/packages/discovery/tests/discovery.steps.ts
@@ -66,7 +66,7 @@
 	assert.equal(this.directory!.entries.has(getRunId({instanceId, bornAt})), false);
 });
 
-When('{int} ms pass in silence', function (this: DiscoveryWorld, milliseconds: number) {
+When('{int} ms pass without announcements', function (this: DiscoveryWorld, milliseconds: number) {
 	mutateSilent(this.directory!, SILENCE_MS, milliseconds);
 });
 
@@ -74,7 +74,7 @@
 	assert.equal(this.directory!.entries.get(id)?.upstream.state, state);
 });
 
-Then('followers learn {int} changes since then', function (this: DiscoveryWorld, count: number) {
+Then('{int} changes are sent to followers', function (this: DiscoveryWorld, count: number) {
 	assert.equal(getChangesSince(this.directory!, this.before).length, count);
 });
 
@@ -87,43 +87,43 @@
 
 const newReady = (ids: string): Upstream[] => ids.split(', ').map(id => newAnnounced(id, UPSTREAM_STATE.Ready, 1));
 
-Given('a follower that holds upstreams {string} of leader {string}', function (this: DiscoveryWorld, ids: string, epoch: string) {
+Given('a directory copy with upstreams {string} of leader {string}', function (this: DiscoveryWorld, ids: string, epoch: string) {
 	this.copy = newDirectoryCopy();
 	this.version = 0;
 	sendChange(this, epoch, true, newReady(ids));
 });
 
-When('leader {string} tells it all that it knows, upstreams {string}', function (this: DiscoveryWorld, epoch: string, ids: string) {
+When('leader {string} sends a complete update with upstreams {string}', function (this: DiscoveryWorld, epoch: string, ids: string) {
 	sendChange(this, epoch, true, newReady(ids));
 });
 
-When('leader {string} tells it that {string} is {string}', function (this: DiscoveryWorld, epoch: string, id: string, state: string) {
+When('leader {string} sends an update that {string} is {string}', function (this: DiscoveryWorld, epoch: string, id: string, state: string) {
 	sendChange(this, epoch, false, [newAnnounced(id, state as UpstreamStateValue, 2)]);
 });
 
-When('leader {string} tells it of upstream {string} at the address of {string}', function (this: DiscoveryWorld, epoch: string, id: string, other: string) {
+When('leader {string} sends an update with upstream {string} at the address of {string}', function (this: DiscoveryWorld, epoch: string, id: string, other: string) {
 	sendChange(this, epoch, true, [newAnnounced(id, UPSTREAM_STATE.Ready, 1, this.copy.upstreams.get(other)!.upstream.address)]);
 });
 
-Given('a follower that holds the run of {string} born at {int}', function (this: DiscoveryWorld, instanceId: string, bornAt: number) {
+Given('a directory copy with the run of {string} born at {int}', function (this: DiscoveryWorld, instanceId: string, bornAt: number) {
 	this.copy = newDirectoryCopy();
 	this.version = 0;
 	sendChange(this, 'one', true, [newRun(instanceId, bornAt, UPSTREAM_STATE.Ready, 1)]);
 });
 
-When('leader {string} tells it of the run of {string} born at {int}', function (this: DiscoveryWorld, epoch: string, instanceId: string, bornAt: number) {
+When('leader {string} sends an update with the run of {string} born at {int}', function (this: DiscoveryWorld, epoch: string, instanceId: string, bornAt: number) {
 	sendChange(this, epoch, true, [newRun(instanceId, bornAt, UPSTREAM_STATE.Ready, 9)]);
 });
 
-When('{int} ms pass without more', function (this: DiscoveryWorld, milliseconds: number) {
+When('{int} ms pass without an update', function (this: DiscoveryWorld, milliseconds: number) {
 	mutateUnconfirmed(this.copy, GRACE_MS, milliseconds);
 });
 
-Then('the follower holds {string}', function (this: DiscoveryWorld, ids: string) {
+Then('the directory copy contains {string}', function (this: DiscoveryWorld, ids: string) {
 	assert.equal([...this.copy.upstreams.keys()].sort().join(', '), ids);
 });
 
-Then('the follower holds {string} as {string}', function (this: DiscoveryWorld, id: string, state: string) {
+Then('the directory copy contains {string} as {string}', function (this: DiscoveryWorld, id: string, state: string) {
 	assert.equal(this.copy.upstreams.get(id)?.upstream.state, state);
 });
 
--- a/packages/order-lease/tests/model-installation.ts
+++ b/packages/order-lease/tests/model-installation.ts
@@ -24,7 +24,7 @@
 const ROUND_MS = 250;
 const SETTINGS = {orderGapMs: 3000};
 
-/** A leader and holders of leases that give an order whenever they may, the worst that can happen. */
+/** Simulates a leader and lease holders that send an order whenever they are allowed to, which is the worst case. */
 export class ModelInstallation {
 	readonly #holders = new Map<string, Map<string, ModelLease>>(MODEL_VMS.map(vm => [vm, new Map()]));
 	readonly #last = new Map<string, ModelOrder>();
@@ -33,7 +33,7 @@
 	#now = 0;
 	#sidecarStartsAt = Number.POSITIVE_INFINITY;
 
-	/** Plays a step and fails where an engine gets orders that it must not. */
+	/** Runs a step. Fails if an engine receives orders from two holders within the gap, or with a decreasing fencing token. */
 	play(step: ModelStep): void {
 		const {silent, unreachable, stopping, restarted, isLeaderNew, isSidecarStarted, rounds} = step;
 		if (isLeaderNew) {
@@ -71,7 +71,7 @@
 			.map(([address, {fence, startsAt}]) => ({address, fence, startsInMs: Math.max(0, startsAt - this.#now)}));
 	}
 
-	/** The first engine's sidecar starts once and is heard from then on. It waits as the leader says that it first reached. */
+	/** The sidecar of the first engine starts once and reports from then on. It waits for the delay that the first leader it reached told it. */
 	#noteSidecar(isStarted: boolean): void {
 		const [engine] = ENGINES;
 		const isRunning = this.#sidecarStartsAt !== Number.POSITIVE_INFINITY;
--- a/packages/order-lease/tests/model-step.ts
+++ b/packages/order-lease/tests/model-step.ts
@@ -1,20 +1,20 @@
 import * as fc from 'fast-check';
 
-/** The processes and engines of the model. */
+/** The names of the simulated VMs. */
 export const MODEL_VMS = ['g1', 'g2', 'g3'];
 
-/** What happens for a while. */
+/** The events of one simulated period. */
 export const MODEL_STEP = fc.record({
-	/** Processes whose reports are lost. */
+	/** VMs whose reports to the leader are lost. */
 	silent: fc.subarray(MODEL_VMS),
-	/** Processes that get no replies. */
+	/** VMs that do not receive the leader's replies. */
 	unreachable: fc.subarray(MODEL_VMS),
-	/** Processes that tell that they stop. */
+	/** VMs that report that they are stopping. */
 	stopping: fc.subarray(MODEL_VMS),
 	restarted: fc.option(fc.constantFrom(...MODEL_VMS), {freq: 12, nil: undefined}),
 	isLeaderNew: fc.nat(3).map(number => number === 0),
-	/** Whether the sidecar of the first engine starts, where it does not run yet. */
+	/** True if the sidecar of the first engine starts in this period, unless it is already running. */
 	isSidecarStarted: fc.nat(24).map(number => number === 0),
-	/** How many turns it lasts. */
+	/** The number of rounds in the period. */
 	rounds: fc.integer({min: 1, max: 12}),
 });
--- a/packages/order-lease/tests/order-lease.steps.ts
+++ b/packages/order-lease/tests/order-lease.steps.ts
@@ -10,10 +10,10 @@
 type LeaseWorld = {
 	state: LeaseState;
 	gapMs: number;
-	/** Fences in the order in which they were granted. */
+	/** The fencing tokens of all leases, in the order in which they were granted. */
 	fences: number[];
 	held: Map<string, HeldLease[]>;
-	/** Gateways that told that they stop. */
+	/** Gateways that have reported that they are stopping. */
 	stopping: Set<string>;
 };
 
@@ -33,7 +33,7 @@
 	this.stopping = new Set();
 });
 
-When('engine(s) {string} and gateway(s) {string} are heard from {int} ms to {int} ms', function (this: LeaseWorld, engines: string, gateways: string, from: number, to: number) {
+When('engine(s) {string} and gateway(s) {string} report from {int} ms to {int} ms', function (this: LeaseWorld, engines: string, gateways: string, from: number, to: number) {
 	for (let now = from; now <= to; now += REPORT_MS) {
 		const candidates = split(gateways).map(vm => newCandidate(this, vm, now));
 		const granted = mutateLeases(this.state, {orderGapMs: this.gapMs}, {addresses: new Set(split(engines)), candidates}, now);
@@ -41,11 +41,11 @@
 	}
 });
 
-When('gateway {string} tells that it stops', function (this: LeaseWorld, vm: string) {
+When('gateway {string} reports that it is stopping', function (this: LeaseWorld, vm: string) {
 	this.stopping.add(vm);
 });
 
-When('the sidecar of {string} is heard', function (this: LeaseWorld, engine: string) {
+When('the sidecar of {string} reports', function (this: LeaseWorld, engine: string) {
 	this.state.attended.add(engine);
 });
 
@@ -53,11 +53,11 @@
 	this.state = newLeaseState(2, startedAt);
 });
 
-When('{string} reports that it holds {string} with fence {int}', function (this: LeaseWorld, vm: string, address: string, fence: number) {
+When('{string} reports a lease of {string} with fencing token {int}', function (this: LeaseWorld, vm: string, address: string, fence: number) {
 	this.held.set(vm, [{address, fence, startsInMs: 0}]);
 });
 
-When('a holder tells at {int} ms that its lease of {string} ended {int} ms ago', function (this: LeaseWorld, now: number, address: string, agoMs: number) {
+When('a holder reports at {int} ms that its lease of {string} ended {int} ms ago', function (this: LeaseWorld, now: number, address: string, agoMs: number) {
 	mutateEnded(this.state, address, now - agoMs);
 });
 
@@ -83,7 +83,7 @@
 	}
 });
 
-Then('its fence is higher than that of the holder before', function (this: LeaseWorld) {
+Then('its fencing token is higher than that of the previous holder', function (this: LeaseWorld) {
 	assert.equal(this.fences.length, 2);
 	assert.ok(this.fences[1] > this.fences[0]);
 });
@@ -92,12 +92,12 @@
 	assert.equal(getSidecarDelayMs(this.state, {orderGapMs: this.gapMs}, engine, now), waitMs);
 });
 
-Then('at {int} ms it knows the holders before it in {int} ms, and at {int} ms in {int} ms', function (this: LeaseWorld, first: number, firstMs: number, second: number, secondMs: number) {
+Then('at {int} ms it knows the previous holders in {int} ms, and at {int} ms in {int} ms', function (this: LeaseWorld, first: number, firstMs: number, second: number, secondMs: number) {
 	assert.equal(getHoldersKnownMs(this.state, first), firstMs);
 	assert.equal(getHoldersKnownMs(this.state, second), secondMs);
 });
 
-When('{int} random histories of reports, silences, restarts and leaders are played', {timeout: 30_000}, (runs: number) => {
+When('{int} random histories of reports, lost messages, restarts and leader changes are run', {timeout: 30_000}, (runs: number) => {
 	fc.assert(fc.property(fc.array(MODEL_STEP, {minLength: 5, maxLength: 40}), steps => {
 		const installation = new ModelInstallation();
 		for (const step of steps) {
@@ -106,4 +106,4 @@
 	}), {numRuns: runs, seed: 21});
 });
 
-Then('in each no engine got orders from two holders within the gap, and no fence went back', () => undefined);
+Then('no engine received orders from two holders within the gap or with a decreasing fencing token', () => undefined);
