--- a/apps/valelead-daemon/src/keeping/engine-keepers.ts
+++ b/apps/valelead-daemon/src/keeping/engine-keepers.ts
@@ -32,7 +32,7 @@
 	readonly lease: HeldLease;
 	readonly startsAt: number;
 	readonly client: EngineClient;
-	readonly keeper: EngineKeeper;
+	readonly manager: EngineKeeper;
 };
 
 /** An order takes up to this long to reach its engine, in milliseconds, so no order is sent in this last part of a lease. */
@@ -70,7 +70,7 @@
 	}
 
 	get(engineAddress: string): EngineKeeper | undefined {
-		return this.#managed.get(engineAddress)?.keeper;
+		return this.#managed.get(engineAddress)?.manager;
 	}
 
 	/** Applies the leader's full list of leases for this process: starts managing new engines and releases engines that are not on the list. */
@@ -95,15 +95,15 @@
 
 	setTable(table: RouteTable): void {
 		this.#table = table;
-		for (const [address, {keeper}] of this.#managed) {
-			this.#updateManager(address, keeper);
+		for (const [address, {manager}] of this.#managed) {
+			this.#updateManager(address, manager);
 		}
 	}
 
 	setUpstreams(upstreams: readonly Upstream[]): void {
 		this.#upstreams = upstreams;
-		for (const [address, {keeper}] of this.#managed) {
-			this.#updateManager(address, keeper);
+		for (const [address, {manager}] of this.#managed) {
+			this.#updateManager(address, manager);
 		}
 	}
 
@@ -130,16 +130,16 @@
 		const {holder, concurrentStoreLoads, codec, timers, clock, logger} = this.#parts;
 		const {engineAddress, fence, startsInMs} = lease;
 		const client = new EngineClient(engineAddress, codec);
-		const keeper = new EngineKeeper({
+		const manager = new EngineKeeper({
 			holder, concurrentStoreLoads, client, timers, clock, logger, fence, polls: REMOTE_POLLS, getOrdersEnd: () => this.#leaseEnd.at - ORDER_TRANSIT_MS,
 		});
 		const startsAt = clock.now() + startsInMs;
 		this.#managed.set(engineAddress, {
-			lease, startsAt, client, keeper,
+			lease, startsAt, client, manager,
 		});
-		keeper.setStart(startsAt);
-		this.#updateManager(engineAddress, keeper);
-		keeper.start();
+		manager.setOrderStart(startsAt);
+		this.#updateManager(engineAddress, manager);
+		manager.start();
 		logger.info({
 			event: 'engine-kept', address: engineAddress, fence, startsInMs: Math.round(startsInMs),
 		}, 'this process now sends orders to the engine');
@@ -153,20 +153,20 @@
 			this.#endedLeases.set(address, Math.min(now, this.#leaseEnd.at));
 		}
 
-		managed.keeper.stop();
+		managed.manager.stop();
 		managed.client.close();
 		this.#parts.logger.info({event: 'engine-released', address, fence: managed.lease.fence}, 'this process no longer sends orders to the engine');
 	}
 
-	#updateManager(address: string, keeper: EngineKeeper): void {
+	#updateManager(address: string, manager: EngineKeeper): void {
 		const upstream = this.#upstreams.findLast(other => other.address === address);
 		if (!upstream) {
 			return;
 		}
 
-		keeper.setEngines(newEngineCopies(this.#upstreams, upstream.service));
-		keeper.setRun(upstream);
-		keeper.setAnnounced(upstream);
-		keeper.setCapacity(this.#table && newCapacity(this.#table, upstream.service));
+		manager.setEngines(newEngineCopies(this.#upstreams, upstream.service));
+		manager.setRun(upstream);
+		manager.setAnnounced(upstream);
+		manager.setCapacity(this.#table && newCapacity(this.#table, upstream.service));
 	}
 }
--- a/apps/valelead-daemon/src/sidecar/engine-keeper.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-keeper.ts
@@ -49,7 +49,7 @@
 	/** The model load in progress; undefined if no load that this manager ordered is known to be running. */
 	#loading: LoadInProgress | undefined;
 	/** The time before which no order may be sent, in monotonic milliseconds. */
-	#startsAt = Number.NEGATIVE_INFINITY;
+	#orderStartAt = Number.NEGATIVE_INFINITY;
 	readonly #stopListeners = new Set<() => void>();
 
 	constructor(parts: EngineManagerOptions) {
@@ -84,8 +84,8 @@
 	}
 
 	/** Sets the time before which no order may be sent, in monotonic milliseconds. */
-	setStart(startsAt: number): void {
-		this.#startsAt = startsAt;
+	setOrderStart(startsAt: number): void {
+		this.#orderStartAt = startsAt;
 	}
 
 	setCapacity(capacity: Capacity | undefined): void {
@@ -126,7 +126,7 @@
 		this.#needs.set(streamId, needs, reportedAt);
 		mutateLastUsedAt(this.#residency, needs, reportedAt);
 		this.#prefetcher.noteNeeds(needs);
-		this.#publisher.publishSoon();
+		this.#publisher.schedulePublish();
 		if (needs.some(need => need.waiting > 0)) {
 			this.#scheduler.wake();
 		}
@@ -134,7 +134,7 @@
 
 	forgetStream(streamId: string): void {
 		this.#needs.forget(streamId);
-		this.#publisher.publishSoon();
+		this.#publisher.schedulePublish();
 	}
 
 	get summary(): EngineSummary | undefined {
@@ -194,7 +194,7 @@
 			return isBusy || pending.length > 0 ? this.#getBusyMs() : this.#getPollMs();
 		}
 
-		const noticeMs = order.kind === ORDER_KIND.Unload ? this.#giveNotice(order) : 0;
+		const noticeMs = order.kind === ORDER_KIND.Unload ? this.#announceUnload(order) : 0;
 		if (noticeMs > 0) {
 			return noticeMs;
 		}
@@ -223,7 +223,7 @@
 
 	#decide(): EngineOrder | undefined {
 		const now = this.#parts.clock.now();
-		const mayOrder = now >= this.#startsAt && now < (this.#parts.getOrdersEnd?.() ?? Number.POSITIVE_INFINITY);
+		const mayOrder = now >= this.#orderStartAt && now < (this.#parts.getOrdersEnd?.() ?? Number.POSITIVE_INFINITY);
 		if (!this.#capacity || this.#run.id === '' || !mayOrder) {
 			return undefined;
 		}
@@ -256,7 +256,7 @@
 	}
 
 	/** Announces an unload to gateways. Returns the time to wait before the order may be sent, in milliseconds; 0 if it may be sent now. */
-	#giveNotice(order: EngineOrder): number {
+	#announceUnload(order: EngineOrder): number {
 		if (this.#unloadNotice.begin(order)) {
 			this.#publisher.publish();
 		}
--- a/apps/valelead-daemon/src/sidecar/new-residency-service.ts
+++ b/apps/valelead-daemon/src/sidecar/new-residency-service.ts
@@ -8,7 +8,7 @@
 type FollowStream = ServerDuplexStream<DemandReport, EngineReport>;
 
 /** Connects a gateway's stream to an engine manager until the stream ends or the manager stops. */
-const serve = (stream: FollowStream, keeper: EngineKeeper, encoder: ReportEncoder, first: DemandReport): void => {
+const serve = (stream: FollowStream, manager: EngineKeeper, encoder: ReportEncoder, first: DemandReport): void => {
 	// A gateway that reconnects may open a new stream before its old stream ends, so the gateway alone does not identify a stream.
 	const streamId = randomUUID();
 	let sentCopies = '';
@@ -18,23 +18,23 @@
 		stream.write(report);
 	};
 
-	const unsubscribe = keeper.subscribe(send);
+	const unsubscribe = manager.subscribe(send);
 	const end = (): void => {
 		unsubscribe();
-		forgetStop();
-		keeper.forgetStream(streamId);
+		removeStopListener();
+		manager.forgetStream(streamId);
 		stream.end();
 	};
 
-	const forgetStop = keeper.onStop(end);
+	const removeStopListener = manager.onStop(end);
 	stream.on('data', (report: DemandReport) => {
-		keeper.setNeeds(streamId, report.needs);
+		manager.setNeeds(streamId, report.needs);
 	});
 	stream.on('end', end);
 	stream.on('error', end);
 	stream.on('cancelled', end);
-	keeper.setNeeds(streamId, first.needs);
-	const {summary} = keeper;
+	manager.setNeeds(streamId, first.needs);
+	const {summary} = manager;
 	if (summary) {
 		send(summary);
 	}
@@ -42,9 +42,9 @@
 
 /**
  * Implements the gRPC service through which gateways report their needs for an engine and receive its summaries.
- * @param getKeeper - Returns the manager of the engine at an address; undefined if this process does not manage that engine.
+ * @param getManager - Returns the manager of the engine at an address; undefined if this process does not manage that engine.
  */
-export const newResidencyService = (getKeeper: (engineAddress: string) => EngineKeeper | undefined): UntypedServiceImplementation => {
+export const newResidencyService = (getManager: (engineAddress: string) => EngineKeeper | undefined): UntypedServiceImplementation => {
 	const encoder = new ReportEncoder();
 	return {
 		follow(stream: FollowStream) {
@@ -52,9 +52,9 @@
 				stream.end();
 			});
 			stream.once('data', (first: DemandReport) => {
-				const keeper = getKeeper(first.engineAddress);
-				if (keeper) {
-					serve(stream, keeper, encoder, first);
+				const manager = getManager(first.engineAddress);
+				if (manager) {
+					serve(stream, manager, encoder, first);
 				} else {
 					stream.end();
 				}
--- a/apps/valelead-daemon/src/sidecar/start-sidecar.ts
+++ b/apps/valelead-daemon/src/sidecar/start-sidecar.ts
@@ -25,10 +25,10 @@
 	const timers = new TimerService(SYSTEM_CLOCK);
 	const pool = new ChannelPool(newChannelCredentials(settings.tls));
 	const client = new EngineClient(settings.engine, adapter.engine);
-	const keeper = new EngineKeeper({
+	const manager = new EngineKeeper({
 		holder: settings.vm, concurrentStoreLoads: settings.concurrentStoreLoads, client, timers, clock: SYSTEM_CLOCK, logger, fence: SIDECAR_FENCE, polls: LOCAL_POLLS,
 	});
-	let ordersFrom: number | undefined;
+	let ordersStartAt: number | undefined;
 	const follower = new RoutingFollower({
 		settings,
 		codec: adapter.control,
@@ -42,26 +42,26 @@
 				attendedEngines: [settings.engine], keeperAddress: '', isStopping: false, leases: [], endedLeases: [],
 			}),
 			take(grant) {
-				ordersFrom = getOrderStart(ordersFrom, grant, SYSTEM_CLOCK.now());
-				keeper.setStart(ordersFrom);
+				ordersStartAt = getOrderStart(ordersStartAt, grant, SYSTEM_CLOCK.now());
+				manager.setOrderStart(ordersStartAt);
 			},
 		},
 		onRouting(table) {
-			keeper.setCapacity(newCapacity(table, settings.service));
+			manager.setCapacity(newCapacity(table, settings.service));
 		},
 		onDirectory(upstreams) {
-			keeper.setEngines(newEngineCopies(upstreams, settings.service));
+			manager.setEngines(newEngineCopies(upstreams, settings.service));
 			const engine = upstreams.findLast(upstream => upstream.address === settings.engine);
 			if (engine) {
-				keeper.setRun(engine);
+				manager.setRun(engine);
 			}
 		},
 	});
-	const server = new GrpcServer([{definition: newServiceDefinition(Residency), implementation: newResidencyService(() => keeper)}]);
+	const server = new GrpcServer([{definition: newServiceDefinition(Residency), implementation: newResidencyService(() => manager)}]);
 	const metrics = new Metrics();
 	await server.listen(`${settings.listenHost ?? settings.host}:${settings.sidecarPort}`, newServerCredentials(settings.tls));
 	follower.start();
-	keeper.start();
+	manager.start();
 	const admin = await startAdminServer({
 		...settings.admin,
 		metrics,
@@ -73,7 +73,7 @@
 	logger.info({event: 'started', engine: settings.engine, startMs: getStartMs()}, 'sidecar started');
 	return {
 		async stop() {
-			keeper.stop();
+			manager.stop();
 			follower.stop();
 			server.stop();
 			client.close();
@@ -82,7 +82,7 @@
 			timers.stop();
 		},
 		stopNow() {
-			keeper.stop();
+			manager.stop();
 		},
 	};
 };
--- a/apps/valelead-daemon/src/sidecar/summary-publisher.ts
+++ b/apps/valelead-daemon/src/sidecar/summary-publisher.ts
@@ -58,7 +58,7 @@
 		const summary = this.#parts.getSummary();
 		const offer = JSON.stringify(summary && getOffer(summary));
 		if (offer === this.#publishedOffer) {
-			this.publishSoon();
+			this.schedulePublish();
 			return;
 		}
 
@@ -67,7 +67,7 @@
 	}
 
 	/** Schedules a check whether counts have changed; to be called after they may have. */
-	publishSoon(): void {
+	schedulePublish(): void {
 		this.#changes.schedule();
 	}
 
@@ -87,7 +87,7 @@
 			return;
 		}
 
-		this.publishSoon();
+		this.schedulePublish();
 	}
 
 	#notify(summary: EngineSummary | undefined, text: string): void {
--- a/apps/valelead-daemon/tests/summary-publisher.steps.ts
+++ b/apps/valelead-daemon/tests/summary-publisher.steps.ts
@@ -62,7 +62,7 @@
 
 When('{string} has {int} requests', function (this: PublisherWorld, model: string, requests: number) {
 	this.held.set(model, requests);
-	this.publisher.publishSoon();
+	this.publisher.schedulePublish();
 });
 
 Then('it has published one more summary within {int} ms', function (this: PublisherWorld, limitMs: number) {
