--- a/apps/valelead-daemon/src/sidecar/engine-keeper.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-keeper.ts
@@ -7,27 +7,30 @@
 import type {EngineStatus} from '../adapter/engine-status.js';
 import {KnownRun} from './known-run.js';
 import {KnownStatus} from './known-status.js';
-import type {KeeperParts} from './keeper-parts.js';
+import type {EngineManagerOptions} from './engine-manager-options.js';
 import {LoadDelayLog} from './load-delay-log.js';
 import {Prefetcher} from './prefetcher.js';
 import {getBusyMs} from './get-busy-ms.js';
 import {newOrderRecord} from './new-order-record.js';
 import {newEngineSummary} from './new-engine-summary.js';
-import {newHoldings} from './new-holdings.js';
+import {newEngineModels} from './new-engine-models.js';
 import {StatusReader} from './status-reader.js';
 import {SummaryPublisher} from './summary-publisher.js';
-import {ToldNeeds} from './told-needs.js';
-import {TurnSchedule} from './turn-schedule.js';
+import {ReportedNeeds} from './reported-needs.js';
+import {RoundScheduler} from './round-scheduler.js';
 import {UnansweredOrders} from './unanswered-orders.js';
 import {UnloadNotice} from './unload-notice.js';
 import type {EngineSummary} from './engine-summary.js';
 import type {LoadInProgress} from './load-in-progress.js';
 
-/** Gives the engine the orders that its gateways' needs call for, one after the other, from its newest state. */
+/**
+ * Decides which models one engine loads and unloads, from the needs that gateways report and the engine's newest status, and sends it one
+ * order at a time.
+ */
 export class EngineKeeper {
-	readonly #parts: KeeperParts;
-	readonly #needs = new ToldNeeds();
-	readonly #turns: TurnSchedule;
+	readonly #parts: EngineManagerOptions;
+	readonly #needs = new ReportedNeeds();
+	readonly #scheduler: RoundScheduler;
 	readonly #residency = newResidencyState();
 	readonly #prefetcher: Prefetcher;
 	readonly #publisher: SummaryPublisher;
@@ -42,19 +45,19 @@
 
 	readonly #unanswered = new UnansweredOrders();
 	readonly #known = new KnownStatus();
-	readonly #leaving: UnloadNotice;
-	/** The load in progress, and when it is expected to end. */
+	readonly #unloadNotice: UnloadNotice;
+	/** The model load in progress; undefined if no load that this manager ordered is known to be running. */
 	#loading: LoadInProgress | undefined;
-	/** From when on orders may be given, in monotonic milliseconds. */
-	#startsAt = Number.NEGATIVE_INFINITY;
+	/** The time before which no order may be sent, in monotonic milliseconds. */
+	#orderStartAt = Number.NEGATIVE_INFINITY;
 	readonly #stopListeners = new Set<() => void>();
 
-	constructor(parts: KeeperParts) {
+	constructor(parts: EngineManagerOptions) {
 		this.#parts = parts;
-		this.#turns = new TurnSchedule({
-			timers: parts.timers, clock: parts.clock, leastMs: parts.polls.leastMs, takeTurn: async () => this.#turn(),
+		this.#scheduler = new RoundScheduler({
+			timers: parts.timers, clock: parts.clock, minIntervalMs: parts.polls.minIntervalMs, runRound: async () => this.#runRound(),
 		});
-		this.#leaving = new UnloadNotice(parts.clock);
+		this.#unloadNotice = new UnloadNotice(parts.clock);
 		this.#prefetcher = new Prefetcher(parts);
 		this.#delays = new LoadDelayLog(parts);
 		this.#reader = new StatusReader({...parts, run: this.#run});
@@ -62,17 +65,17 @@
 	}
 
 	start(): void {
-		this.#turns.wake();
+		this.#scheduler.wake();
 	}
 
 	stop(): void {
-		this.#turns.stop();
+		this.#scheduler.stop();
 		for (const listener of this.#stopListeners) {
 			listener();
 		}
 	}
 
-	/** Calls back when the keeper stops. */
+	/** Registers a listener that is called when the manager stops. Returns a function that removes the listener. */
 	onStop(listener: () => void): () => void {
 		this.#stopListeners.add(listener);
 		return () => {
@@ -80,58 +83,58 @@
 		};
 	}
 
-	/** Gives no order before a time, in monotonic milliseconds. */
-	setStart(startsAt: number): void {
-		this.#startsAt = startsAt;
+	/** Sets the time before which no order may be sent, in monotonic milliseconds. */
+	setOrderStart(startsAt: number): void {
+		this.#orderStartAt = startsAt;
 	}
 
 	setCapacity(capacity: Capacity | undefined): void {
 		this.#capacity = capacity;
-		this.#turns.wake();
+		this.#scheduler.wake();
 	}
 
-	/** Learns which run of the engine announced itself; an earlier one than is known changes nothing. */
+	/** Updates which run of the engine is current, from an announcement. A run older than the known one is ignored. */
 	setRun(run: Run): void {
 		const before = this.#run.id;
-		this.#run.take(run);
+		this.#run.update(run);
 		if (this.#run.id !== before) {
-			this.#turns.wake();
+			this.#scheduler.wake();
 		}
 	}
 
-	/** Takes what the engine announced, for engines on other machines: it may show the end of an order sooner than their state. */
+	/** Applies an announcement of an engine on another machine, which may show the end of an order sooner than a status poll does. */
 	setAnnounced(upstream: Upstream): void {
 		if (upstream.id === this.#run.id && this.#known.takeAnnounced(upstream, this.#parts.clock.now())) {
 			this.#loading = undefined;
-			this.#turns.wake();
+			this.#scheduler.wake();
 		}
 	}
 
-	/** Learns what the engines of the service keep, this one among them. */
+	/** Updates which models all engines of the service have loaded or keep copies of, including this engine. */
 	setEngines(engines: readonly EngineCopies[]): void {
 		this.#prefetcher.setEngines(engines, this.#run.id);
 	}
 
-	/** Calls back with the summary whenever it changes. */
+	/** Registers a listener for changes of the engine's summary. Returns a function that removes the listener. */
 	subscribe(listener: (summary: EngineSummary) => void): () => void {
 		return this.#publisher.subscribe(listener);
 	}
 
-	/** Takes the whole need of the gateway at the other end of a stream. */
+	/** Replaces the needs of the gateway at the other end of a stream. */
 	setNeeds(streamId: string, needs: readonly UnitNeed[]): void {
-		const toldAt = this.#parts.clock.now();
-		this.#needs.set(streamId, needs, toldAt);
-		mutateLastUsedAt(this.#residency, needs, toldAt);
+		const reportedAt = this.#parts.clock.now();
+		this.#needs.set(streamId, needs, reportedAt);
+		mutateLastUsedAt(this.#residency, needs, reportedAt);
 		this.#prefetcher.noteNeeds(needs);
-		this.#publisher.publishSoon();
+		this.#publisher.schedulePublish();
 		if (needs.some(need => need.waiting > 0)) {
-			this.#turns.wake();
+			this.#scheduler.wake();
 		}
 	}
 
 	forgetStream(streamId: string): void {
 		this.#needs.forget(streamId);
-		this.#publisher.publishSoon();
+		this.#publisher.schedulePublish();
 	}
 
 	get summary(): EngineSummary | undefined {
@@ -144,38 +147,38 @@
 			upstreamId: this.#run.id,
 			status,
 			capacity: this.#capacity,
-			holdings: this.#getHoldings(status),
+			engine: this.#getEngineModels(status),
 			needs: this.#getNeeds(),
-			leaving: this.#leaving.order,
+			unloading: this.#unloadNotice.order,
 			loading: this.#loading,
-			getWantedMs: model => getModelWaitMs(this.#residency, model),
+			getModelWaitMs: model => getModelWaitMs(this.#residency, model),
 			now: this.#parts.clock.now(),
 		});
 	}
 
-	/** What was known of the run before ends with it: the next one holds nothing of it and counts its orders anew. */
+	/** Discards the state of the engine's previous run: the new run has none of its models loaded and counts its orders from the start. */
 	#forgetRun(): void {
 		this.#known.reset();
-		this.#leaving.end();
+		this.#unloadNotice.end();
 		this.#loading = undefined;
 		this.#reader.expire();
 	}
 
-	#getHoldings(status: EngineStatus): EngineModels {
-		const lateLoads = this.#unanswered.getPossible(this.#run.id, status.orderSequence, this.#parts.clock.now());
-		return newHoldings(status, this.#prefetcher.replicated, lateLoads);
+	#getEngineModels(status: EngineStatus): EngineModels {
+		const unconfirmedLoads = this.#unanswered.getPossible(this.#run.id, status.orderSequence, this.#parts.clock.now());
+		return newEngineModels(status, this.#prefetcher.loadedElsewhere, unconfirmedLoads);
 	}
 
 	#getNeeds(): UnitNeed[] {
 		return this.#needs.getAll(this.#parts.clock.now());
 	}
 
-	/** One turn: asks the engine for its state, decides and orders; returns when the next one is due. */
-	async #turn(): Promise<number> {
+	/** Runs one planning round: polls the engine if needed, decides, and sends an order. Returns the time until the next round, in milliseconds. */
+	async #runRound(): Promise<number> {
 		const {polls} = this.#parts;
 		if (!this.#isFresh()) {
 			const status = await this.#reader.read();
-			if (!status || this.#turns.isStopped) {
+			if (!status || this.#scheduler.isStopped) {
 				return polls.idleMs;
 			}
 
@@ -188,15 +191,15 @@
 		this.#publisher.publish();
 		if (!order) {
 			const {isBusy, pending} = this.#known.value!;
-			return isBusy || pending.length > 0 ? this.#getBusyMs() : this.#getRestMs();
+			return isBusy || pending.length > 0 ? this.#getBusyMs() : this.#getPollMs();
 		}
 
-		const noticeMs = order.kind === ORDER_KIND.Unload ? this.#giveNotice(order) : 0;
+		const noticeMs = order.kind === ORDER_KIND.Unload ? this.#announceUnload(order) : 0;
 		if (noticeMs > 0) {
 			return noticeMs;
 		}
 
-		this.#leaving.end();
+		this.#unloadNotice.end();
 		const result = await this.#order(order);
 		if (result === ORDER_RESULT.Conflict) {
 			return polls.adapterMs;
@@ -209,18 +212,18 @@
 		return getBusyMs(this.#parts.polls, this.#loading, this.#parts.clock.now());
 	}
 
-	#getRestMs(): number {
-		return this.#needs.isWaiting ? this.#parts.polls.busyMs : this.#parts.polls.idleMs;
+	#getPollMs(): number {
+		return this.#needs.hasWaitingRequests ? this.#parts.polls.busyMs : this.#parts.polls.idleMs;
 	}
 
-	/** Whether the engine need not be asked before the next decision. */
+	/** True if the known status is recent enough to decide on without polling the engine again. */
 	#isFresh(): boolean {
-		return this.#known.isCurrent && this.#reader.ageMs < this.#parts.polls.freshMs;
+		return this.#known.isCurrent && this.#reader.ageMs < this.#parts.polls.maxStatusAgeMs;
 	}
 
 	#decide(): EngineOrder | undefined {
 		const now = this.#parts.clock.now();
-		const mayOrder = now >= this.#startsAt && now < (this.#parts.getOrdersEnd?.() ?? Number.POSITIVE_INFINITY);
+		const mayOrder = now >= this.#orderStartAt && now < (this.#parts.getOrdersEnd?.() ?? Number.POSITIVE_INFINITY);
 		if (!this.#capacity || this.#run.id === '' || !mayOrder) {
 			return undefined;
 		}
@@ -228,8 +231,8 @@
 		const needs = this.#getNeeds();
 		mutateModelWaits(this.#residency, needs, now);
 		const fetched = this.#prefetcher.getNeeds(this.#run.id, [...this.#capacity.models.keys()]);
-		const holdings = this.#getHoldings(this.#known.value!);
-		const step = getNextStep(this.#residency, this.#capacity, holdings, [...needs, ...fetched], now);
+		const engine = this.#getEngineModels(this.#known.value!);
+		const step = getNextStep(this.#residency, this.#capacity, engine, [...needs, ...fetched], now);
 		switch (step.kind) {
 			case 'order': {
 				return step.order;
@@ -237,7 +240,7 @@
 
 			case 'delay': {
 				this.#delays.note(step.load, {
-					upstreamId: this.#run.id, capacity: this.#capacity, holdings, needs, wantedMs: getModelWaitMs(this.#residency, step.load.model),
+					upstreamId: this.#run.id, capacity: this.#capacity, engine, needs, modelWaitMs: getModelWaitMs(this.#residency, step.load.model),
 				});
 				return undefined;
 			}
@@ -252,13 +255,13 @@
 		}
 	}
 
-	/** Tells gateways of an unload; returns when to look again whether it may be ordered, in milliseconds. */
-	#giveNotice(order: EngineOrder): number {
-		if (this.#leaving.begin(order)) {
+	/** Announces an unload to gateways. Returns the time to wait before the order may be sent, in milliseconds; 0 if it may be sent now. */
+	#announceUnload(order: EngineOrder): number {
+		if (this.#unloadNotice.begin(order)) {
 			this.#publisher.publish();
 		}
 
-		return this.#leaving.waitMs;
+		return this.#unloadNotice.waitMs;
 	}
 
 	async #order(order: EngineOrder): Promise<OrderResultValue> {
@@ -274,7 +277,7 @@
 			expectedSequence,
 			tookMs: this.#parts.clock.now() - startedAt,
 			capacity: this.#capacity!,
-			holdings: this.#getHoldings(status),
+			engine: this.#getEngineModels(status),
 			needs: this.#getNeeds(),
 			residency: this.#residency,
 		}), 'engine ordered');
@@ -283,12 +286,12 @@
 		}
 
 		if (runId !== this.#run.id) {
-			// Another run of the engine became known meanwhile, which the order does not concern.
+			// A new run of the engine became known while the order was in progress; the order does not apply to it.
 			return ORDER_RESULT.OtherEngine;
 		}
 
 		const isLoad = order.kind === ORDER_KIND.Load && order.adapter === '' && reply.result === ORDER_RESULT.Accepted;
-		this.#loading = isLoad ? this.#noteLoad(order.model, status, startedAt) : undefined;
+		this.#loading = isLoad ? this.#newLoadInProgress(order.model, status, startedAt) : undefined;
 		if (reply.result === ORDER_RESULT.Accepted) {
 			this.#known.noteTaken(order, expectedSequence, startedAt);
 		} else {
@@ -296,18 +299,21 @@
 		}
 
 		if (reply.result === ORDER_RESULT.OtherEngine && reply.instanceId !== '') {
-			this.#run.take({instanceId: reply.instanceId, bornAt: 0});
+			this.#run.update({instanceId: reply.instanceId, bornAt: 0});
 		}
 
 		return reply.result;
 	}
 
-	/** The load that has begun. What loads from copies count decides later whether one from the weight store may begin. */
-	#noteLoad(model: string, status: EngineStatus, startedAt: number): LoadInProgress {
+	/**
+	 * Describes a load that has begun. The value of a load from a local copy is recorded, as it decides whether a later load from the weight
+	 * store may begin.
+	 */
+	#newLoadInProgress(model: string, status: EngineStatus, startedAt: number): LoadInProgress {
 		const capacity = this.#capacity!;
-		const holdings = this.#getHoldings(status);
-		const loadMs = getLoadMs(capacity, holdings, model);
-		const isFetch = isStoreLoad(capacity, holdings, model);
+		const engine = this.#getEngineModels(status);
+		const loadMs = getLoadMs(capacity, engine, model);
+		const isFetch = isStoreLoad(capacity, engine, model);
 		if (!isFetch) {
 			mutateCopyLoadRate(this.#residency, getLoadValue(getWaits(this.#getNeeds(), model), loadMs), startedAt);
 		}
--- a/apps/valelead-daemon/src/sidecar/new-engine-summary.ts
+++ b/apps/valelead-daemon/src/sidecar/new-engine-summary.ts
@@ -11,39 +11,39 @@
 	readonly upstreamId: string;
 	readonly status: EngineStatus;
 	readonly capacity: Capacity | undefined;
-	readonly holdings: EngineModels;
+	readonly engine: EngineModels;
 	readonly needs: readonly UnitNeed[];
-	/** What is about to be unloaded; it is not offered any more. */
-	readonly leaving: EngineOrder | undefined;
+	/** The order to unload a model or adapter that is about to be sent; the unit is no longer offered to gateways. */
+	readonly unloading: EngineOrder | undefined;
 	readonly loading: LoadInProgress | undefined;
-	/** For how long requests have waited for a model, in milliseconds. */
-	readonly getWantedMs: (model: string) => number;
+	/** Returns how long requests have been waiting for a model, in milliseconds. */
+	readonly getModelWaitMs: (model: string) => number;
 	readonly now: number;
 };
 
-/** Remaining times of loads are told in steps of this, in milliseconds, so that the passing of time alone is no news. */
+/** Remaining times of loads are rounded up to multiples of this, in milliseconds, so that not every passing millisecond changes the summary. */
 const REMAINING_STEP_MS = 250;
 
 const getRounded = (milliseconds: number): number => Math.ceil(milliseconds / REMAINING_STEP_MS) * REMAINING_STEP_MS;
 
-const getOfferedModels = ({status, needs, leaving}: SummaryParts): EngineSummary['models'] => status.models
-	.filter(model => !(leaving?.adapter === '' && leaving.model === model.name))
+const getOfferedModels = ({status, needs, unloading}: SummaryParts): EngineSummary['models'] => status.models
+	.filter(model => !(unloading?.adapter === '' && unloading.model === model.name))
 	.map(model => ({
 		name: model.name,
 		version: model.version,
 		inProgress: needs.filter(need => need.model === model.name).reduce((sum, need) => sum + need.inProgress, 0),
-		adapters: model.adapters.filter(adapter => !(leaving?.model === model.name && leaving.adapter === adapter)),
+		adapters: model.adapters.filter(adapter => !(unloading?.model === model.name && unloading.adapter === adapter)),
 	}));
 
 const getWaiting = (needs: readonly UnitNeed[], model: string): number => needs.filter(need => need.model === model).reduce((sum, need) => sum + need.waiting, 0);
 
-const getLoads = ({status, capacity, holdings, needs, loading, getWantedMs, now}: SummaryParts): ModelLoad[] => {
+const getLoads = ({status, capacity, engine, needs, loading, getModelWaitMs, now}: SummaryParts): ModelLoad[] => {
 	if (!capacity) {
 		return [];
 	}
 
-	const held = new Set(holdings.models.map(model => model.name));
-	const getModelMs = (model: string): number => getLoadMs(capacity, holdings, model);
+	const loaded = new Set(engine.models.map(model => model.name));
+	const getModelMs = (model: string): number => getLoadMs(capacity, engine, model);
 	const current = status.isBusy ? loading : undefined;
 	let remainingMs = current ? getRemainingMs(current, now) : 0;
 	const loads = current
@@ -52,7 +52,7 @@
 		}]
 		: [];
 	for (const model of getLoadQueue({
-		loaded: held, needs, getLoadMs: getModelMs, getModelWaitMs: getWantedMs,
+		loaded, needs, getLoadMs: getModelMs, getModelWaitMs,
 	})) {
 		if (model !== current?.model && capacity.models.has(model)) {
 			remainingMs += getModelMs(model);
@@ -65,7 +65,7 @@
 	return loads;
 };
 
-/** What gateways are told of an engine. */
+/** Builds the summary of an engine's state that is sent to gateways. */
 export const newEngineSummary = (parts: SummaryParts): EngineSummary => {
 	const {upstreamId, status, needs} = parts;
 	return {
--- a/apps/valelead-daemon/src/sidecar/new-residency-service.ts
+++ b/apps/valelead-daemon/src/sidecar/new-residency-service.ts
@@ -7,9 +7,9 @@
 
 type FollowStream = ServerDuplexStream<DemandReport, EngineReport>;
 
-/** Follows a keeper for the gateway at the other end of a stream, until either is gone. */
-const serve = (stream: FollowStream, keeper: EngineKeeper, encoder: ReportEncoder, first: DemandReport): void => {
-	// A gateway that comes back may open its new stream before the old one ends.
+/** Connects a gateway's stream to an engine manager until the stream ends or the manager stops. */
+const serve = (stream: FollowStream, manager: EngineKeeper, encoder: ReportEncoder, first: DemandReport): void => {
+	// A gateway that reconnects may open a new stream before its old stream ends, so the gateway alone does not identify a stream.
 	const streamId = randomUUID();
 	let sentCopies = '';
 	const send = (summary: EngineSummary): void => {
@@ -18,33 +18,33 @@
 		stream.write(report);
 	};
 
-	const unsubscribe = keeper.subscribe(send);
+	const unsubscribe = manager.subscribe(send);
 	const end = (): void => {
 		unsubscribe();
-		forgetStop();
-		keeper.forgetStream(streamId);
+		removeStopListener();
+		manager.forgetStream(streamId);
 		stream.end();
 	};
 
-	const forgetStop = keeper.onStop(end);
+	const removeStopListener = manager.onStop(end);
 	stream.on('data', (report: DemandReport) => {
-		keeper.setNeeds(streamId, report.needs);
+		manager.setNeeds(streamId, report.needs);
 	});
 	stream.on('end', end);
 	stream.on('error', end);
 	stream.on('cancelled', end);
-	keeper.setNeeds(streamId, first.needs);
-	const {summary} = keeper;
+	manager.setNeeds(streamId, first.needs);
+	const {summary} = manager;
 	if (summary) {
 		send(summary);
 	}
 };
 
 /**
- * Serves the gateways that need engines which this process gives orders to.
- * @param getKeeper - The keeper of the engine at an address; undefined where this process gives it no orders.
+ * Implements the gRPC service through which gateways report their needs for an engine and receive its summaries.
+ * @param getManager - Returns the manager of the engine at an address; undefined if this process does not manage that engine.
  */
-export const newResidencyService = (getKeeper: (engineAddress: string) => EngineKeeper | undefined): UntypedServiceImplementation => {
+export const newResidencyService = (getManager: (engineAddress: string) => EngineKeeper | undefined): UntypedServiceImplementation => {
 	const encoder = new ReportEncoder();
 	return {
 		follow(stream: FollowStream) {
@@ -52,9 +52,9 @@
 				stream.end();
 			});
 			stream.once('data', (first: DemandReport) => {
-				const keeper = getKeeper(first.engineAddress);
-				if (keeper) {
-					serve(stream, keeper, encoder, first);
+				const manager = getManager(first.engineAddress);
+				if (manager) {
+					serve(stream, manager, encoder, first);
 				} else {
 					stream.end();
 				}
--- a/apps/valelead-daemon/src/sidecar/status-reader.ts
+++ b/apps/valelead-daemon/src/sidecar/status-reader.ts
@@ -1,46 +1,46 @@
 import type {Clock} from '@valelead/common';
 import type {Logger} from 'pino';
 import type {EngineStatus} from '../adapter/engine-status.js';
-import {ReachLog} from './reach-log.js';
+import {ReachabilityLog} from './reachability-log.js';
 import type {EnginePort} from './engine-port.js';
 import type {KnownRun} from './known-run.js';
 
-type ReaderParts = {
+type ReaderOptions = {
 	readonly client: EnginePort;
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly run: KnownRun;
 };
 
-/** Asks an engine for its state, learns from the answer which run gave it, and remembers when it was asked. */
+/** Polls an engine for its status, updates the known run from the response, and records the time of the poll. */
 export class StatusReader {
-	readonly #parts: ReaderParts;
-	readonly #reach: ReachLog;
+	readonly #parts: ReaderOptions;
+	readonly #reach: ReachabilityLog;
 	#askedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(parts: ReaderParts) {
+	constructor(parts: ReaderOptions) {
 		this.#parts = parts;
-		this.#reach = new ReachLog(parts.logger);
+		this.#reach = new ReachabilityLog(parts.logger);
 	}
 
-	/** Since the engine was asked last, in milliseconds. */
+	/** The time since the engine was last polled, in milliseconds; infinite if the last status has expired. */
 	get ageMs(): number {
 		return this.#parts.clock.now() - this.#askedAt;
 	}
 
-	/** What was told last does not hold any more. */
+	/** Marks the last status as outdated, so that the engine is polled before the next decision. */
 	expire(): void {
 		this.#askedAt = Number.NEGATIVE_INFINITY;
 	}
 
-	/** The engine's state; undefined where it does not answer, or where an earlier run than is known did. */
+	/** Polls the engine's status. Returns undefined if the engine does not respond, or if the response came from an older run than the known one. */
 	async read(): Promise<EngineStatus | undefined> {
 		const {client, clock, run} = this.#parts;
 		try {
 			this.#askedAt = clock.now();
 			const reply = await client.getStatus();
 			this.#reach.note(true, run.id, '');
-			return run.takeAnswer(reply) ? reply.status : undefined;
+			return run.updateFromStatus(reply) ? reply.status : undefined;
 		} catch (error) {
 			this.#reach.note(false, run.id, (error as Error).message);
 			return undefined;
--- a/apps/valelead-daemon/src/sidecar/summary-publisher.ts
+++ b/apps/valelead-daemon/src/sidecar/summary-publisher.ts
@@ -2,47 +2,50 @@
 import {isSignificantChange} from './is-significant-change.js';
 import type {EngineSummary} from './engine-summary.js';
 
-type PublisherParts = {
+type PublisherOptions = {
 	readonly timers: TimerService;
 	readonly clock: Clock;
 	readonly getSummary: () => EngineSummary | undefined;
 };
 
 /**
- * Changes of counts alone are told together after this time for each follower, in milliseconds, so that what one follower
- * hears does not grow with the installation: with as many gateways as engines it takes at most some tens of reports a second.
+ * Changes of counts alone are batched for this time per follower, in milliseconds, so that the number of reports that one follower receives does
+ * not grow with the installation: with as many gateways as engines, a gateway receives at most some tens of reports a second.
  */
 const COALESCE_PER_FOLLOWER_MS = 8;
 
-/** The bounds of that time, in milliseconds. */
-const LEAST_COALESCE_MS = 60;
-const MOST_COALESCE_MS = 1000;
+/** The lower and upper bound of the batching time, in milliseconds. */
+const MIN_COALESCE_MS = 60;
+const MAX_COALESCE_MS = 1000;
 
-/** A small change is told after this time, in milliseconds, or together with a larger one. */
+/** A small change is published after this time, in milliseconds, or together with a larger one if that comes first. */
 const SMALL_CHANGE_MS = 1000;
 
-/** What followers are told of at once where it changes. */
+/** The part of a summary whose changes are published at once. */
 const getOffer = ({upstreamId, loads, copiesOnDisk, models}: EngineSummary): unknown[] =>
 	[upstreamId, loads.map(load => load.model), copiesOnDisk, models.map(({name, version, adapters}) => [name, version, adapters])];
 
-/** Tells followers what the engine offers: at once where that changes, and some time later where only counts do. */
+/** Publishes summaries of an engine to followers: changes of its offered models, loads and copies on disk at once, changes of counts in batches. */
 export class SummaryPublisher {
-	readonly #parts: PublisherParts;
+	readonly #parts: PublisherOptions;
 	readonly #listeners = new Set<(summary: EngineSummary) => void>();
 	readonly #changes: Coalescer;
-	#told: EngineSummary | undefined;
-	#toldText = '';
-	#toldOffer = '';
-	#toldAt = Number.NEGATIVE_INFINITY;
+	#published: EngineSummary | undefined;
+	#publishedText = '';
+	#publishedOffer = '';
+	#publishedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(parts: PublisherParts) {
+	constructor(parts: PublisherOptions) {
 		this.#parts = parts;
 		this.#changes = new Coalescer(parts.timers, () => this.#getCoalesceMs(), now => {
-			this.#tellChange(now);
+			this.#publishChange(now);
 		});
 	}
 
-	/** Calls back with the summary whenever followers are to be told. All get the same one, as it takes the needs of all gateways together. */
+	/**
+	 * Registers a listener for summaries. All listeners receive the same summary, as it covers the needs of all gateways. Returns a function that
+	 * removes the listener.
+	 */
 	subscribe(listener: (summary: EngineSummary) => void): () => void {
 		this.#listeners.add(listener);
 		return () => {
@@ -50,47 +53,47 @@
 		};
 	}
 
-	/** What is offered, loading or kept may have changed. */
+	/** Publishes the summary at once if its models, loads or copies on disk have changed; schedules it otherwise. */
 	publish(): void {
 		const summary = this.#parts.getSummary();
 		const offer = JSON.stringify(summary && getOffer(summary));
-		if (offer === this.#toldOffer) {
-			this.publishSoon();
+		if (offer === this.#publishedOffer) {
+			this.schedulePublish();
 			return;
 		}
 
-		this.#toldOffer = offer;
-		this.#tell(summary, JSON.stringify(summary));
+		this.#publishedOffer = offer;
+		this.#notify(summary, JSON.stringify(summary));
 	}
 
-	/** Counts may have changed. */
-	publishSoon(): void {
+	/** Schedules a check whether counts have changed; to be called after they may have. */
+	schedulePublish(): void {
 		this.#changes.schedule();
 	}
 
 	#getCoalesceMs(): number {
-		return Math.min(MOST_COALESCE_MS, Math.max(LEAST_COALESCE_MS, this.#listeners.size * COALESCE_PER_FOLLOWER_MS));
+		return Math.min(MAX_COALESCE_MS, Math.max(MIN_COALESCE_MS, this.#listeners.size * COALESCE_PER_FOLLOWER_MS));
 	}
 
-	#tellChange(now: number): void {
+	#publishChange(now: number): void {
 		const summary = this.#parts.getSummary();
 		const text = JSON.stringify(summary);
-		if (!summary || text === this.#toldText) {
+		if (!summary || text === this.#publishedText) {
 			return;
 		}
 
-		if (isSignificantChange(this.#told, summary) || now - this.#toldAt >= SMALL_CHANGE_MS) {
-			this.#tell(summary, text);
+		if (isSignificantChange(this.#published, summary) || now - this.#publishedAt >= SMALL_CHANGE_MS) {
+			this.#notify(summary, text);
 			return;
 		}
 
-		this.publishSoon();
+		this.schedulePublish();
 	}
 
-	#tell(summary: EngineSummary | undefined, text: string): void {
-		this.#told = summary;
-		this.#toldText = text;
-		this.#toldAt = this.#parts.clock.now();
+	#notify(summary: EngineSummary | undefined, text: string): void {
+		this.#published = summary;
+		this.#publishedText = text;
+		this.#publishedAt = this.#parts.clock.now();
 		if (!summary) {
 			return;
 		}
--- a/packages/discovery/src/mutate-departure.ts
+++ b/packages/discovery/src/mutate-departure.ts
@@ -6,7 +6,7 @@
 import type {Run} from './run.js';
 import type {Upstream} from './upstream.js';
 
-const newUnknown = ({instanceId, bornAt}: Run): Upstream => ({
+const newUnknownUpstream = ({instanceId, bornAt}: Run): Upstream => ({
 	id: getRunId({instanceId, bornAt}),
 	instanceId,
 	bornAt,
@@ -24,14 +24,14 @@
 });
 
 /**
- * Takes an upstream's word that a run of it leaves, which never comes back; the upstream may start again as another run. Without the
- * time of its start, the newest known run is meant. Returns what was known of the run.
+ * Applies the departure of a run of an upstream. The run is never restored; the upstream may start again as another run. A departure without
+ * a start time applies to the newest known run. Returns the run's previous entry; undefined if the run was unknown.
  */
 export const mutateDeparture = (directory: Directory, {instanceId, bornAt}: Run, now: number): Upstream | undefined => {
 	const newest = getNewestRun(directory, instanceId);
 	const run = {instanceId, bornAt: bornAt === 0 ? newest?.bornAt ?? 0 : bornAt};
 	const known = directory.entries.get(getRunId(run))?.upstream;
-	const upstream = {...(known ?? newUnknown(run)), state: UPSTREAM_STATE.Gone};
+	const upstream = {...(known ?? newUnknownUpstream(run)), state: UPSTREAM_STATE.Gone};
 	mutateEntry(directory, upstream, now);
 	directory.entries.get(upstream.id)!.isReplaced = false;
 	return known;
