--- a/packages/access/src/get-key-faults.ts
+++ b/packages/access/src/get-key-faults.ts
@@ -7,7 +7,7 @@
 /** Every fault of the teams' names and keys: a key stands for one team, once. */
 export const getKeyFaults = (teams: Iterable<KeyHolder>): KeyFault[] => {
 	const names = new Set<string>();
-	const holders = new Map<string, string>();
+	const teamsByHash = new Map<string, string>();
 	const faults: KeyFault[] = [];
 	for (const {name, keyHashes} of teams) {
 		if (names.has(name)) {
@@ -16,16 +16,16 @@
 
 		names.add(name);
 		for (const hash of keyHashes) {
-			const holder = holders.get(hash);
-			if (holder !== undefined) {
-				faults.push({team: name, reason: holder === name ? 'a key stands twice' : `a key is also a key of team ${holder}`});
+			const otherTeam = teamsByHash.get(hash);
+			if (otherTeam !== undefined) {
+				faults.push({team: name, reason: otherTeam === name ? 'a key stands twice' : `a key is also a key of team ${otherTeam}`});
 			}
 
 			if (hash === EMPTY_HASH) {
 				faults.push({team: name, reason: 'a key is empty'});
 			}
 
-			holders.set(hash, name);
+			teamsByHash.set(hash, name);
 		}
 	}
 
--- a/packages/common/src/coalescer.ts
+++ b/packages/common/src/coalescer.ts
@@ -5,7 +5,7 @@
 	readonly #timers: TimerService;
 	readonly #getWaitMs: () => number;
 	readonly #run: (now: number) => void;
-	#isDue = false;
+	#isScheduled = false;
 
 	/** @param waitMs - How long the first call waits for others, in milliseconds; a function where that varies. */
 	constructor(timers: TimerService, waitMs: number | (() => number), run: (now: number) => void) {
@@ -15,13 +15,13 @@
 	}
 
 	schedule(): void {
-		if (this.#isDue) {
+		if (this.#isScheduled) {
 			return;
 		}
 
-		this.#isDue = true;
+		this.#isScheduled = true;
 		this.#timers.after(this.#getWaitMs(), now => {
-			this.#isDue = false;
+			this.#isScheduled = false;
 			this.#run(now);
 		});
 	}
--- a/packages/common/src/lease-end.ts
+++ b/packages/common/src/lease-end.ts
@@ -1,7 +1,7 @@
 import type {Clock} from './clock.js';
 import type {SuspensionWatch} from './suspension-watch.js';
 
-type LeaseParts = {
+type LeaseOptions = {
 	readonly clock: Clock;
 	/** Tells when the process was last suspended, and for how long in all. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
@@ -11,34 +11,34 @@
 
 /** Until when this process may do what another one confirms from time to time, by a time that goes on in suspensions. */
 export class LeaseEnd {
-	readonly #parts: LeaseParts;
-	#until = Number.NEGATIVE_INFINITY;
+	readonly #options: LeaseOptions;
+	#endMs = Number.NEGATIVE_INFINITY;
 
-	constructor(parts: LeaseParts) {
-		this.#parts = parts;
+	constructor(options: LeaseOptions) {
+		this.#options = options;
 	}
 
 	/**
 	 * Takes a confirmation; returns whether it counts.
-	 * @param askedAt - When this process asked for it, in monotonic milliseconds; one from before a suspension does not count, as nobody knows how long
+	 * @param requestedAt - When this process asked for it, in monotonic milliseconds; one from before a suspension does not count, as nobody knows how long
 	 * ago that is.
 	 */
-	confirm(askedAt: number): boolean {
-		const {suspensions, lengthMs} = this.#parts;
-		if (suspensions.resumedAt >= askedAt) {
+	confirm(requestedAt: number): boolean {
+		const {suspensions, lengthMs} = this.#options;
+		if (suspensions.resumedAt >= requestedAt) {
 			return false;
 		}
 
-		this.#until = askedAt + suspensions.lostMs + lengthMs;
+		this.#endMs = requestedAt + suspensions.lostMs + lengthMs;
 		return true;
 	}
 
 	/** The end on the monotonic clock, if the process is not suspended again. */
 	get at(): number {
-		return this.#until - this.#parts.suspensions.lostMs;
+		return this.#endMs - this.#options.suspensions.lostMs;
 	}
 
 	get isOver(): boolean {
-		return this.#parts.clock.now() >= this.at;
+		return this.#options.clock.now() >= this.at;
 	}
 }
--- a/packages/common/src/load-state-chart.ts
+++ b/packages/common/src/load-state-chart.ts
@@ -3,7 +3,7 @@
 import {invariant} from './invariant.js';
 import type {StateChart} from './state-chart.js';
 
-const CHART = Schema.Struct({
+const CHART_SCHEMA = Schema.Struct({
 	name: Schema.String,
 	initial: Schema.String,
 	states: Schema.Record(Schema.String, Schema.Struct({on: Schema.Record(Schema.String, Schema.String)})),
@@ -11,7 +11,7 @@
 
 /** Reads a chart from its JSON file and checks that every target exists. */
 export const loadStateChart = (file: URL): StateChart => {
-	const chart = Schema.decodeUnknownSync(CHART)(JSON.parse(readFileSync(file, 'utf8')));
+	const chart = Schema.decodeUnknownSync(CHART_SCHEMA)(JSON.parse(readFileSync(file, 'utf8')));
 	invariant(chart.states[chart.initial], `chart ${chart.name} has its initial state`);
 	for (const state of Object.values(chart.states)) {
 		for (const target of Object.values(state.on)) {
--- a/packages/common/src/receive-response.ts
+++ b/packages/common/src/receive-response.ts
@@ -7,7 +7,7 @@
  * @param signal - Tells that nobody wants the answer any more.
  */
 export const receiveResponse = async (request: ClientRequest, signal?: AbortSignal): Promise<IncomingMessage> => new Promise((resolve, reject) => {
-	const giveUp = (reason: string): void => {
+	const abort = (reason: string): void => {
 		reject(new Error(reason));
 		abortRequest(request);
 	};
@@ -15,9 +15,9 @@
 	request.on('response', resolve);
 	request.on('error', reject);
 	request.on('timeout', () => {
-		giveUp('no answer in time');
+		abort('no answer in time');
 	});
 	signal?.addEventListener('abort', () => {
-		giveUp('the request is no longer wanted');
+		abort('the request is no longer wanted');
 	}, {once: true});
 });
--- a/packages/common/src/suspension-watch.ts
+++ b/packages/common/src/suspension-watch.ts
@@ -1,10 +1,10 @@
 import type {Clock} from './clock.js';
 
 /** Time that the monotonic clock may miss before that counts as a suspension, in milliseconds; under the margin of every lease. */
-const LEAST_LOST_MS = 25;
+const MIN_SUSPENSION_MS = 25;
 
 /** How fast the clocks may part without a suspension, in milliseconds a millisecond: twice the most that time services slew. */
-const DRIFT = 0.001;
+const MAX_DRIFT_MS_PER_MS = 0.001;
 
 /**
  * Notices that the process was suspended together with its machine. The monotonic clock stands still then and the time of day does not, so a time of
@@ -16,7 +16,7 @@
 export class SuspensionWatch {
 	readonly #clock: Clock;
 	/** The least by which the time of day was ahead of the monotonic clock, with the drift since allowed for, and when that was worked out. */
-	#leadMs: number;
+	#wallLeadMs: number;
 	#checkedAt: number;
 	#resumedAt = Number.NEGATIVE_INFINITY;
 	#lostMs = 0;
@@ -24,7 +24,7 @@
 	constructor(clock: Clock) {
 		this.#clock = clock;
 		this.#checkedAt = clock.now();
-		this.#leadMs = clock.wallNow() - this.#checkedAt;
+		this.#wallLeadMs = clock.wallNow() - this.#checkedAt;
 	}
 
 	/**
@@ -32,27 +32,27 @@
 	 * older than the monotonic clock shows. Each call looks anew, at some 0.1 µs.
 	 */
 	get resumedAt(): number {
-		this.#look();
+		this.#check();
 		return this.#resumedAt;
 	}
 
 	/** Time that the monotonic clock has missed in all, in milliseconds; too much rather than too little. Each call looks anew. */
 	get lostMs(): number {
-		this.#look();
+		this.#check();
 		return this.#lostMs;
 	}
 
-	#look(): void {
+	#check(): void {
 		const now = this.#clock.now();
 		const leadMs = this.#clock.wallNow() - now;
-		const allowedMs = this.#leadMs + ((now - this.#checkedAt) * DRIFT);
+		const allowedMs = this.#wallLeadMs + ((now - this.#checkedAt) * MAX_DRIFT_MS_PER_MS);
 		this.#checkedAt = now;
-		if (leadMs - allowedMs > LEAST_LOST_MS) {
+		if (leadMs - allowedMs > MIN_SUSPENSION_MS) {
 			this.#resumedAt = now;
-			this.#lostMs += leadMs - this.#leadMs;
-			this.#leadMs = leadMs;
+			this.#lostMs += leadMs - this.#wallLeadMs;
+			this.#wallLeadMs = leadMs;
 		} else {
-			this.#leadMs = Math.min(leadMs, allowedMs);
+			this.#wallLeadMs = Math.min(leadMs, allowedMs);
 		}
 	}
 }
--- a/packages/common/src/timer-service.ts
+++ b/packages/common/src/timer-service.ts
@@ -1,5 +1,5 @@
 import type {Clock} from './clock.js';
-import {SYSTEM_WAKEUPS} from './system-wakeups.js';
+import {SYSTEM_TIMEOUT_SCHEDULER} from './system-timeout-scheduler.js';
 import type {TimerSubscription} from './timer-subscription.js';
 import type {Wakeups} from './wakeups.js';
 
@@ -10,20 +10,20 @@
 	isCancelled: boolean;
 };
 
-const COARSEST_WAIT_MS = 1000;
+const MAX_WAIT_MS = 1000;
 
 /** The one source of time events of a process. Parts subscribe to it in place of setting timers of their own. */
 export class TimerService {
 	readonly #clock: Clock;
-	readonly #wakeups: Wakeups;
+	readonly #scheduler: Wakeups;
 	readonly #subscribers = new Set<Subscriber>();
-	#handle: unknown;
-	#wakesAt = Number.POSITIVE_INFINITY;
+	#timeoutHandle: unknown;
+	#nextWakeupAt = Number.POSITIVE_INFINITY;
 	#isStopped = false;
 
-	constructor(clock: Clock, wakeups: Wakeups = SYSTEM_WAKEUPS) {
+	constructor(clock: Clock, scheduler: Wakeups = SYSTEM_TIMEOUT_SCHEDULER) {
 		this.#clock = clock;
-		this.#wakeups = wakeups;
+		this.#scheduler = scheduler;
 	}
 
 	/** Calls back every `periodMs` milliseconds. */
@@ -49,7 +49,7 @@
 	stop(): void {
 		this.#isStopped = true;
 		this.#subscribers.clear();
-		this.#wakeups.clear(this.#handle);
+		this.#scheduler.clear(this.#timeoutHandle);
 	}
 
 	#subscribe(delayMs: number, periodMs: number | undefined, callback: (now: number) => void): TimerSubscription {
@@ -70,23 +70,23 @@
 	}
 
 	#schedule(dueAt: number): void {
-		if (this.#isStopped || dueAt >= this.#wakesAt) {
+		if (this.#isStopped || dueAt >= this.#nextWakeupAt) {
 			return;
 		}
 
-		this.#wakeups.clear(this.#handle);
-		this.#wakesAt = dueAt;
-		const waitMs = Math.min(Math.max(0, dueAt - this.#clock.now()), COARSEST_WAIT_MS);
-		this.#handle = this.#wakeups.set(() => {
-			this.#wake();
+		this.#scheduler.clear(this.#timeoutHandle);
+		this.#nextWakeupAt = dueAt;
+		const waitMs = Math.min(Math.max(0, dueAt - this.#clock.now()), MAX_WAIT_MS);
+		this.#timeoutHandle = this.#scheduler.set(() => {
+			this.#runDue();
 		}, waitMs);
 	}
 
-	#wake(): void {
+	#runDue(): void {
 		const now = this.#clock.now();
-		this.#wakesAt = Number.POSITIVE_INFINITY;
+		this.#nextWakeupAt = Number.POSITIVE_INFINITY;
 		for (const subscriber of this.#subscribers) {
-			this.#fire(subscriber, now);
+			this.#runIfDue(subscriber, now);
 		}
 
 		let nextAt = Number.POSITIVE_INFINITY;
@@ -99,7 +99,7 @@
 		}
 	}
 
-	#fire(subscriber: Subscriber, now: number): void {
+	#runIfDue(subscriber: Subscriber, now: number): void {
 		if (subscriber.isCancelled || subscriber.dueAt > now) {
 			return;
 		}
--- a/packages/engine/src/http-upstream.ts
+++ b/packages/engine/src/http-upstream.ts
@@ -7,7 +7,7 @@
 import * as Schema from 'effect/Schema';
 import type {OrderResult} from './order-result.js';
 import type {Upstream} from './upstream.js';
-import type {UpstreamAnswer} from './upstream-answer.js';
+import type {UpstreamResponse} from './upstream-response.js';
 import type {UpstreamOrder} from './upstream-order.js';
 import type {UpstreamRequest} from './upstream-request.js';
 import type {UpstreamStatus} from './upstream-status.js';
@@ -47,12 +47,12 @@
 	readonly signal?: AbortSignal;
 };
 
-type Answer = {
+type HttpResponse = {
 	readonly message: IncomingMessage;
 	readonly received: ReceivedResponse;
 };
 
-async function * readBody({message, received}: Answer): AsyncGenerator<Buffer> {
+async function * readBody({message, received}: HttpResponse): AsyncGenerator<Buffer> {
 	for await (const chunk of message) {
 		received.addChunk(chunk as Buffer);
 		yield chunk as Buffer;
@@ -64,9 +64,9 @@
 	}
 }
 
-const readText = async (answer: Answer): Promise<string> => {
+const readText = async (response: HttpResponse): Promise<string> => {
 	const chunks: Buffer[] = [];
-	for await (const chunk of readBody(answer)) {
+	for await (const chunk of readBody(response)) {
 		chunks.push(chunk);
 	}
 
@@ -89,10 +89,10 @@
 	}
 
 	async getStatus(): Promise<UpstreamStatus> {
-		const answer = await this.#call({
+		const response = await this.#call({
 			method: 'GET', path: '/upstream/status', headers: {}, timeoutMs: STATUS_TIMEOUT_MS,
 		});
-		return decodeStatus(JSON.parse(await readText(answer)));
+		return decodeStatus(JSON.parse(await readText(response)));
 	}
 
 	async load(order: UpstreamOrder): Promise<OrderResult> {
@@ -103,9 +103,9 @@
 		return this.#order('/upstream/unload', order);
 	}
 
-	async send(request: UpstreamRequest, signal: AbortSignal): Promise<UpstreamAnswer> {
+	async send(request: UpstreamRequest, signal: AbortSignal): Promise<UpstreamResponse> {
 		try {
-			const answer = await this.#call({
+			const response = await this.#call({
 				method: request.method,
 				path: request.path,
 				headers: {
@@ -119,8 +119,8 @@
 				body: request.body,
 				signal,
 			});
-			const {statusCode, headers} = answer.message;
-			return {status: statusCode!, contentType: headers['content-type'] ?? '', body: readBody(answer)};
+			const {statusCode, headers} = response.message;
+			return {status: statusCode!, contentType: headers['content-type'] ?? '', body: readBody(response)};
 		} catch (error) {
 			const outcome = isConnectionRefused(error) ? OUTCOME.NotRun : OUTCOME.Unknown;
 			const code = isConnectionRefused(error) ? RESULT_CODE.UpstreamRejected : RESULT_CODE.UpstreamFailed;
@@ -130,15 +130,15 @@
 
 	async #order(path: string, order: UpstreamOrder): Promise<OrderResult> {
 		try {
-			const answer = await this.#call({
+			const response = await this.#call({
 				method: 'POST',
 				path,
 				headers: {'content-type': 'application/json'},
 				body: Buffer.from(JSON.stringify(order)),
 				timeoutMs: this.#orderTimeoutMs,
 			});
-			await readText(answer);
-			const {statusCode} = answer.message;
+			await readText(response);
+			const {statusCode} = response.message;
 			if (statusCode! >= HTTP_SERVER_ERROR) {
 				return 'unknown';
 			}
@@ -149,7 +149,7 @@
 		}
 	}
 
-	async #call(call: Call): Promise<Answer> {
+	async #call(call: Call): Promise<HttpResponse> {
 		call.signal?.throwIfAborted();
 		const outgoing = startRequest({
 			agent: this.#sockets,
--- a/packages/engine/src/mutate-agent.ts
+++ b/packages/engine/src/mutate-agent.ts
@@ -6,7 +6,7 @@
 import {mutateOrders} from './mutate-orders.js';
 import {mutateStatus} from './mutate-status.js';
 import {mutateUnit} from './mutate-unit.js';
-import {newOrdersDue} from './new-orders-due.js';
+import {mutateDueOrders} from './mutate-due-orders.js';
 import type {AgentEffect} from './agent-effect.js';
 import type {AgentEvent} from './agent-event.js';
 import type {AgentSettings} from './agent-settings.js';
@@ -37,7 +37,7 @@
 };
 
 /** Without word from the leader for a lease, the replicas are given up; their grants stay until it hears so. */
-const mutateLease = (state: AgentState, settings: AgentSettings, now: number): void => {
+const mutateUnitsAtLeaseEnd = (state: AgentState, settings: AgentSettings, now: number): void => {
 	if (now - state.confirmedAt <= settings.replicaLeaseMs || state.confirmedAt === Number.NEGATIVE_INFINITY) {
 		return;
 	}
@@ -110,7 +110,7 @@
 		}
 
 		case 'tick': {
-			mutateLease(state, settings, now);
+			mutateUnitsAtLeaseEnd(state, settings, now);
 			return [];
 		}
 
@@ -123,5 +123,5 @@
 /** Advances an agent by one event at its monotonic time in milliseconds, and returns what must be done. */
 export const mutateAgent = (state: AgentState, settings: AgentSettings, event: AgentEvent, now: number): AgentEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
-	return [...effects, ...newOrdersDue(state, now), ...mutateCredits(state, settings, now)];
+	return [...effects, ...mutateDueOrders(state, now), ...mutateCredits(state, settings, now)];
 };
--- a/packages/engine/src/mutate-attempt-end.ts
+++ b/packages/engine/src/mutate-attempt-end.ts
@@ -1,7 +1,7 @@
 import type {AgentState} from './agent-state.js';
 
 /** Attempts that are remembered after their end. */
-const MAX_ATTEMPTS = 20_000;
+const MAX_REMEMBERED_ATTEMPTS = 20_000;
 
 /** Notes the end of an accepted attempt. */
 export const mutateAttemptEnd = (state: AgentState, attemptId: string, now: number): void => {
@@ -19,7 +19,7 @@
 	}
 
 	for (const [id, oldest] of state.attempts) {
-		if (state.attempts.size <= MAX_ATTEMPTS || !oldest.isEnded) {
+		if (state.attempts.size <= MAX_REMEMBERED_ATTEMPTS || !oldest.isEnded) {
 			break;
 		}
 
--- a/packages/engine/src/mutate-credits.ts
+++ b/packages/engine/src/mutate-credits.ts
@@ -14,10 +14,10 @@
 	}
 };
 
-const getTarget = (wanted: number, settings: AgentSettings): number => wanted === 0 ? 0 : Math.max(wanted, settings.spareCredits);
+const getTargetCredits = (wanted: number, settings: AgentSettings): number => wanted === 0 ? 0 : Math.max(wanted, settings.spareCredits);
 
 /** A lane is filled up when half of its credits are gone, so that not every dispatch calls for a message. */
-const isNeedy = (held: number, target: number, isBeingFilled: boolean): boolean => held < target && (isBeingFilled || held <= target / 2);
+const isRefillDue = (credits: number, target: number, isBeingFilled: boolean): boolean => credits < target && (isBeingFilled || credits <= target / 2);
 
 /** Issues free places of the upstream to the entries, those with fewest credits first. */
 export const mutateCredits = (state: AgentState, settings: AgentSettings, now: number): AgentEffect[] => {
@@ -29,14 +29,14 @@
 	let free = state.status!.capacity - state.inProgress - state.credits.size;
 	const issued = new Map<string, string[]>();
 	while (free > 0) {
-		const needy = [...state.lanes]
-			.filter(([entry, lane]) => isNeedy(lane.credits.size, getTarget(lane.wanted, settings), issued.has(entry)))
+		const recipient = [...state.lanes]
+			.filter(([entry, lane]) => isRefillDue(lane.credits.size, getTargetCredits(lane.wanted, settings), issued.has(entry)))
 			.sort(([, left], [, right]) => left.credits.size - right.credits.size)[0];
-		if (!needy) {
+		if (!recipient) {
 			break;
 		}
 
-		const [entry, lane] = needy;
+		const [entry, lane] = recipient;
 		const creditId = String(state.nextCredit);
 		state.nextCredit += 1;
 		state.credits.set(creditId, {entry, expiresAt: now + settings.creditMs});
--- a/packages/engine/src/mutate-dispatch.ts
+++ b/packages/engine/src/mutate-dispatch.ts
@@ -8,7 +8,7 @@
 
 type Dispatch = Extract<AgentEvent, {kind: 'dispatch'}>;
 
-const mutateCredit = (state: AgentState, creditId: string): boolean => {
+const mutateSpentCredit = (state: AgentState, creditId: string): boolean => {
 	const credit = state.credits.get(creditId);
 	state.credits.delete(creditId);
 	if (!credit) {
@@ -19,16 +19,16 @@
 	return true;
 };
 
-const getRefusal = (state: AgentState, settings: AgentSettings, dispatch: Dispatch, now: number): ResultCodeValue | undefined => {
+const getDispatchRefusalCode = (state: AgentState, settings: AgentSettings, dispatch: Dispatch, now: number): ResultCodeValue | undefined => {
 	const credit = state.credits.get(dispatch.creditId);
-	const isSpent = !mutateCredit(state, dispatch.creditId);
+	const isSpent = !mutateSpentCredit(state, dispatch.creditId);
 	if (isSpent || now >= credit!.expiresAt || state.attempts.has(dispatch.attemptId)) {
 		return RESULT_CODE.CreditExpired;
 	}
 
-	const closed = getClosedCode(state, settings, now);
-	if (closed !== undefined) {
-		return closed;
+	const refusalCode = getClosedCode(state, settings, now);
+	if (refusalCode !== undefined) {
+		return refusalCode;
 	}
 
 	if (dispatch.remainingMs <= 0) {
@@ -43,7 +43,7 @@
 /** Accepts a dispatch or refuses it. A refused one never reaches the upstream, unless it repeats an attempt that was accepted. */
 export const mutateDispatch = (state: AgentState, settings: AgentSettings, dispatch: Dispatch, now: number): AgentEffect[] => {
 	const isKnown = state.attempts.has(dispatch.attemptId);
-	const code = getRefusal(state, settings, dispatch, now);
+	const code = getDispatchRefusalCode(state, settings, dispatch, now);
 	if (code !== undefined) {
 		const outcome = isKnown ? OUTCOME.Unknown : OUTCOME.NotRun;
 		return [{
--- a/packages/engine/src/new-orders-due.ts
+++ b/packages/engine/src/mutate-due-orders.ts
@@ -10,13 +10,13 @@
 const newOrder = (state: AgentState, unit: AgentUnit): UpstreamOrder => ({unit: unit.unit, memoryBytes: unit.memoryBytes, fence: state.revision});
 
 /** A model is not unloaded from under an adapter that may be on it. */
-const hasDependant = (state: AgentState, unit: AgentUnit): boolean => [...state.units.values()]
+const hasDependentUnit = (state: AgentState, unit: AgentUnit): boolean => [...state.units.values()]
 	.some(other => other.base === unit.unit && other.state !== UNIT_STATE.Reserved && other.state !== UNIT_STATE.Gone);
 
 const hasBase = (state: AgentState, unit: AgentUnit): boolean => unit.base === '' || state.units.get(unit.base)?.state === UNIT_STATE.Ready;
 
 const newUnload = (state: AgentState, unit: AgentUnit, now: number): AgentEffect[] => {
-	if (unit.inProgress > 0 || hasDependant(state, unit) || !mutateUnit(unit, 'idle', now)) {
+	if (unit.inProgress > 0 || hasDependentUnit(state, unit) || !mutateUnit(unit, 'idle', now)) {
 		return [];
 	}
 
@@ -27,15 +27,15 @@
 const newLoad = (state: AgentState, unit: AgentUnit, now: number): AgentEffect[] => {
 	const isDue = unit.state === UNIT_STATE.Reserved && !unit.isRevoking && now >= unit.retryAt;
 	const hasRoom = getUsedBytes(state) + unit.memoryBytes <= (state.status?.memoryBytes ?? 0);
-	const isOpen = state.hasOrders && !state.isStopping;
-	if (!isDue || !isOpen || !hasRoom || !hasBase(state, unit) || !mutateUnit(unit, 'order', now)) {
+	const isAcceptingLoads = state.hasOrders && !state.isStopping;
+	if (!isDue || !isAcceptingLoads || !hasRoom || !hasBase(state, unit) || !mutateUnit(unit, 'order', now)) {
 		return [];
 	}
 
 	return [{kind: 'load', order: newOrder(state, unit)}];
 };
 
-const mutateGone = (state: AgentState, unit: AgentUnit): AgentEffect[] => {
+const mutateAbsentUnit = (state: AgentState, unit: AgentUnit): AgentEffect[] => {
 	state.units.delete(unit.unit);
 	if (unit.grantId !== '') {
 		state.released.add(unit.grantId);
@@ -45,7 +45,7 @@
 };
 
 /** The orders that the present state calls for. */
-export const newOrdersDue = (state: AgentState, now: number): AgentEffect[] => {
+export const mutateDueOrders = (state: AgentState, now: number): AgentEffect[] => {
 	const effects: AgentEffect[] = [];
 	for (const unit of state.units.values()) {
 		if (unit.isRevoking) {
@@ -64,7 +64,7 @@
 			}
 
 			case UNIT_STATE.Gone: {
-				effects.push(...mutateGone(state, unit));
+				effects.push(...mutateAbsentUnit(state, unit));
 				break;
 			}
 
--- a/packages/engine/src/mutate-orders.ts
+++ b/packages/engine/src/mutate-orders.ts
@@ -8,7 +8,7 @@
  * A grant that an earlier process of this agent may have ordered counts as committed until the engine's
  * own report clears it.
  */
-const addUnit = (state: AgentState, grant: AgentGrant, isFirst: boolean, now: number): void => {
+const mutateAddedUnit = (state: AgentState, grant: AgentGrant, isFirst: boolean, now: number): void => {
 	state.units.set(grant.unit, {
 		unit: grant.unit,
 		memoryBytes: grant.memoryBytes,
@@ -28,7 +28,7 @@
 const mutateGrant = (state: AgentState, grant: AgentGrant, isFirst: boolean, now: number): void => {
 	const unit = state.units.get(grant.unit);
 	if (!unit) {
-		addUnit(state, grant, isFirst, now);
+		mutateAddedUnit(state, grant, isFirst, now);
 		return;
 	}
 
@@ -70,11 +70,11 @@
 		}
 	}
 
-	mutateRevoked(state, now);
+	mutateRevokedUnits(state, now);
 };
 
 /** Moves units that are to be given up towards their unloading. */
-const mutateRevoked = (state: AgentState, now: number): void => {
+const mutateRevokedUnits = (state: AgentState, now: number): void => {
 	for (const unit of state.units.values()) {
 		if (unit.isRevoking) {
 			mutateUnit(unit, 'revoke', now);
--- a/packages/engine/src/mutate-status.ts
+++ b/packages/engine/src/mutate-status.ts
@@ -7,7 +7,7 @@
 import type {UpstreamUnit} from './upstream-unit.js';
 
 /** A unit that the engine holds without a grant is unloaded. */
-const addFound = (state: AgentState, found: UpstreamUnit, now: number): AgentUnit => {
+const mutateFoundUnit = (state: AgentState, found: UpstreamUnit, now: number): AgentUnit => {
 	const unit: AgentUnit = {
 		unit: found.unit,
 		memoryBytes: found.memoryBytes,
@@ -27,7 +27,7 @@
 };
 
 /** A restarted engine has lost its units, but an order that was under way may have reached its new run. */
-const mutateRestarted = (state: AgentState, now: number): void => {
+const mutateUnitsAtRestart = (state: AgentState, now: number): void => {
 	for (const unit of state.units.values()) {
 		if (unit.state !== UNIT_STATE.Reserved && unit.state !== UNIT_STATE.Gone) {
 			unit.state = UNIT_STATE.Uncertain;
@@ -36,14 +36,14 @@
 	}
 };
 
-const mutatePresent = (unit: AgentUnit, settings: AgentSettings, found: UpstreamUnit, requestedAt: number, now: number): void => {
+const mutatePresentUnit = (unit: AgentUnit, settings: AgentSettings, found: UpstreamUnit, requestedAt: number, now: number): void => {
 	const settleMs = unit.state === UNIT_STATE.Unloading ? settings.settleMs : 0;
 	if (requestedAt >= unit.changedAt + settleMs) {
 		mutateUnit(unit, found.state === 'ready' ? 'foundReady' : 'foundLoading', now);
 	}
 };
 
-const mutateAbsent = (unit: AgentUnit, settings: AgentSettings, requestedAt: number, now: number): void => {
+const mutateMissingUnit = (unit: AgentUnit, settings: AgentSettings, requestedAt: number, now: number): void => {
 	const isOrdered = unit.state === UNIT_STATE.Loading;
 	const isSettled = requestedAt >= unit.changedAt + settings.settleMs;
 	const needsSettling = unit.state === UNIT_STATE.Uncertain || unit.state === UNIT_STATE.Unloading;
@@ -57,19 +57,19 @@
 /** Compares what is known with the engine's own inventory, which was asked for at `requestedAt`. */
 export const mutateStatus = (state: AgentState, settings: AgentSettings, status: UpstreamStatus, requestedAt: number, now: number): void => {
 	if (state.status && state.status.incarnation !== status.incarnation) {
-		mutateRestarted(state, now);
+		mutateUnitsAtRestart(state, now);
 	}
 
 	state.status = status;
 	const found = new Map(status.units.map(unit => [unit.unit, unit]));
 	for (const upstreamUnit of status.units) {
-		const unit = state.units.get(upstreamUnit.unit) ?? addFound(state, upstreamUnit, now);
-		mutatePresent(unit, settings, upstreamUnit, requestedAt, now);
+		const unit = state.units.get(upstreamUnit.unit) ?? mutateFoundUnit(state, upstreamUnit, now);
+		mutatePresentUnit(unit, settings, upstreamUnit, requestedAt, now);
 	}
 
 	for (const unit of state.units.values()) {
 		if (!found.has(unit.unit)) {
-			mutateAbsent(unit, settings, requestedAt, now);
+			mutateMissingUnit(unit, settings, requestedAt, now);
 		}
 	}
 };
--- a/packages/engine/src/upstream.ts
+++ b/packages/engine/src/upstream.ts
@@ -1,5 +1,5 @@
 import type {OrderResult} from './order-result.js';
-import type {UpstreamAnswer} from './upstream-answer.js';
+import type {UpstreamResponse} from './upstream-response.js';
 import type {UpstreamOrder} from './upstream-order.js';
 import type {UpstreamRequest} from './upstream-request.js';
 import type {UpstreamStatus} from './upstream-status.js';
@@ -10,5 +10,5 @@
 	readonly load: (order: UpstreamOrder) => Promise<OrderResult>;
 	readonly unload: (order: UpstreamOrder) => Promise<OrderResult>;
 	/** Rejects with a numbered error whose outcome says whether the request may have run. */
-	readonly send: (request: UpstreamRequest, signal: AbortSignal) => Promise<UpstreamAnswer>;
+	readonly send: (request: UpstreamRequest, signal: AbortSignal) => Promise<UpstreamResponse>;
 };
--- a/packages/intent/src/action.ts
+++ b/packages/intent/src/action.ts
@@ -1,11 +1,11 @@
 import type * as Schema from 'effect/Schema';
-import type {Draft} from './draft.js';
+import type {Transaction} from './transaction.js';
 
 type ActionShape<Command extends Schema.Top> = {
 	readonly name: string;
 	readonly schema: Command;
-	/** Changes the draft, or throws a numbered error; the caller then undoes the draft. */
-	readonly perform: (draft: Draft, command: Command['Type']) => void;
+	/** Changes the transaction, or throws a numbered error; the caller then undoes the transaction. */
+	readonly perform: (transaction: Transaction, command: Command['Type']) => void;
 };
 
 /** Ties the types of an action's schema and its perform together. */
--- a/packages/intent/src/actions/alter-adapter.ts
+++ b/packages/intent/src/actions/alter-adapter.ts
@@ -19,11 +19,11 @@
 export const alterAdapter = newAction({
 	name: 'alterAdapter',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
 		const key = getAdapterKey(command.model, command.name);
-		const adapter = {...requirePresent(draft.intent.adapters, key, 'adapter'), ...fields};
-		requireTeams(draft.intent, adapter.teams);
-		putRecord(draft, draft.intent.adapters, key, adapter);
+		const adapter = {...requirePresent(transaction.intent.adapters, key, 'adapter'), ...fields};
+		requireTeams(transaction.intent, adapter.teams);
+		putRecord(transaction, transaction.intent.adapters, key, adapter);
 	},
 });
--- a/packages/intent/src/actions/alter-class.ts
+++ b/packages/intent/src/actions/alter-class.ts
@@ -18,9 +18,9 @@
 export const alterClass = newAction({
 	name: 'alterClass',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const requestClass = requirePresent(draft.intent.classes, command.name, 'class');
-		putRecord(draft, draft.intent.classes, command.name, {...requestClass, ...fields});
+		const requestClass = requirePresent(transaction.intent.classes, command.name, 'class');
+		putRecord(transaction, transaction.intent.classes, command.name, {...requestClass, ...fields});
 	},
 });
--- a/packages/intent/src/actions/alter-model.ts
+++ b/packages/intent/src/actions/alter-model.ts
@@ -21,14 +21,14 @@
 export const alterModel = newAction({
 	name: 'alterModel',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const model = {...requirePresent(draft.intent.models, command.name, 'model'), ...fields};
-		requireModelReferences(draft.intent, model);
+		const model = {...requirePresent(transaction.intent.models, command.name, 'model'), ...fields};
+		requireModelReferences(transaction.intent, model);
 		if (!model.versions.includes(model.version)) {
 			throw new ValeleadError(`model ${command.name} has no version ${model.version}`, {code: RESULT_CODE.NotFound});
 		}
 
-		putRecord(draft, draft.intent.models, command.name, model);
+		putRecord(transaction, transaction.intent.models, command.name, model);
 	},
 });
--- a/packages/intent/src/actions/alter-service.ts
+++ b/packages/intent/src/actions/alter-service.ts
@@ -17,11 +17,11 @@
 export const alterService = newAction({
 	name: 'alterService',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const service = {...requirePresent(draft.intent.services, command.name, 'service'), ...fields};
-		requirePresent(draft.intent.classes, service.class, 'class');
-		requireTeams(draft.intent, service.teams);
-		putRecord(draft, draft.intent.services, command.name, service);
+		const service = {...requirePresent(transaction.intent.services, command.name, 'service'), ...fields};
+		requirePresent(transaction.intent.classes, service.class, 'class');
+		requireTeams(transaction.intent, service.teams);
+		putRecord(transaction, transaction.intent.services, command.name, service);
 	},
 });
--- a/packages/intent/src/actions/alter-team.ts
+++ b/packages/intent/src/actions/alter-team.ts
@@ -17,9 +17,9 @@
 export const alterTeam = newAction({
 	name: 'alterTeam',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const team = requirePresent(draft.intent.teams, command.name, 'team');
-		putRecord(draft, draft.intent.teams, command.name, {...team, ...fields});
+		const team = requirePresent(transaction.intent.teams, command.name, 'team');
+		putRecord(transaction, transaction.intent.teams, command.name, {...team, ...fields});
 	},
 });
--- a/packages/intent/src/actions/create-adapter.ts
+++ b/packages/intent/src/actions/create-adapter.ts
@@ -20,13 +20,13 @@
 export const createAdapter = newAction({
 	name: 'createAdapter',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const model = requirePresent(draft.intent.models, command.model, 'model');
+		const model = requirePresent(transaction.intent.models, command.model, 'model');
 		const key = getAdapterKey(command.model, command.name);
-		requireAbsent(draft.intent.adapters, key, 'adapter');
+		requireAbsent(transaction.intent.adapters, key, 'adapter');
 		const adapter = {maxReplicas: model.maxReplicas, teams: model.teams, ...fields};
-		requireTeams(draft.intent, adapter.teams);
-		putRecord(draft, draft.intent.adapters, key, adapter);
+		requireTeams(transaction.intent, adapter.teams);
+		putRecord(transaction, transaction.intent.adapters, key, adapter);
 	},
 });
--- a/packages/intent/src/actions/create-class.ts
+++ b/packages/intent/src/actions/create-class.ts
@@ -19,9 +19,9 @@
 export const createClass = newAction({
 	name: 'createClass',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.classes, command.name, 'class');
-		putRecord(draft, draft.intent.classes, command.name, {...newRequestClass(command.name), ...fields});
+		requireAbsent(transaction.intent.classes, command.name, 'class');
+		putRecord(transaction, transaction.intent.classes, command.name, {...newRequestClass(command.name), ...fields});
 	},
 });
--- a/packages/intent/src/actions/create-key.ts
+++ b/packages/intent/src/actions/create-key.ts
@@ -16,13 +16,13 @@
 export const createKey = newAction({
 	name: 'createKey',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const team = requirePresent(draft.intent.teams, command.team, 'team');
+	perform(transaction, command) {
+		const team = requirePresent(transaction.intent.teams, command.team, 'team');
 		if (team.keys.some(key => key.name === command.name)) {
 			throw new ValeleadError(`key ${command.name} of team ${command.team} exists`, {code: RESULT_CODE.AlreadyExists});
 		}
 
 		const keys = [...team.keys, {name: command.name, hash: command.hash}];
-		putRecord(draft, draft.intent.teams, command.team, {...team, keys});
+		putRecord(transaction, transaction.intent.teams, command.team, {...team, keys});
 	},
 });
--- a/packages/intent/src/actions/create-model.ts
+++ b/packages/intent/src/actions/create-model.ts
@@ -21,11 +21,11 @@
 export const createModel = newAction({
 	name: 'createModel',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.models, command.name, 'model');
+		requireAbsent(transaction.intent.models, command.name, 'model');
 		const model = {...newModel(command.name, command.memoryBytes), ...fields};
-		requireModelReferences(draft.intent, model);
-		putRecord(draft, draft.intent.models, command.name, {...model, versions: [model.version]});
+		requireModelReferences(transaction.intent, model);
+		putRecord(transaction, transaction.intent.models, command.name, {...model, versions: [model.version]});
 	},
 });
--- a/packages/intent/src/actions/create-operator.ts
+++ b/packages/intent/src/actions/create-operator.ts
@@ -15,9 +15,9 @@
 export const createOperator = newAction({
 	name: 'createOperator',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.operators, command.name, 'operator');
-		putRecord(draft, draft.intent.operators, command.name, fields);
+		requireAbsent(transaction.intent.operators, command.name, 'operator');
+		putRecord(transaction, transaction.intent.operators, command.name, fields);
 	},
 });
--- a/packages/intent/src/actions/create-service.ts
+++ b/packages/intent/src/actions/create-service.ts
@@ -19,12 +19,12 @@
 export const createService = newAction({
 	name: 'createService',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.services, command.name, 'service');
+		requireAbsent(transaction.intent.services, command.name, 'service');
 		const service = {...newServiceRoute(command.name), ...fields};
-		requirePresent(draft.intent.classes, service.class, 'class');
-		requireTeams(draft.intent, service.teams);
-		putRecord(draft, draft.intent.services, command.name, service);
+		requirePresent(transaction.intent.classes, service.class, 'class');
+		requireTeams(transaction.intent, service.teams);
+		putRecord(transaction, transaction.intent.services, command.name, service);
 	},
 });
--- a/packages/intent/src/actions/create-team.ts
+++ b/packages/intent/src/actions/create-team.ts
@@ -18,9 +18,9 @@
 export const createTeam = newAction({
 	name: 'createTeam',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.teams, command.name, 'team');
-		putRecord(draft, draft.intent.teams, command.name, {...newTeam(command.name), ...fields});
+		requireAbsent(transaction.intent.teams, command.name, 'team');
+		putRecord(transaction, transaction.intent.teams, command.name, {...newTeam(command.name), ...fields});
 	},
 });
--- a/packages/intent/src/actions/create-version.ts
+++ b/packages/intent/src/actions/create-version.ts
@@ -15,12 +15,12 @@
 export const createVersion = newAction({
 	name: 'createVersion',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const model = requirePresent(draft.intent.models, command.model, 'model');
+	perform(transaction, command) {
+		const model = requirePresent(transaction.intent.models, command.model, 'model');
 		if (model.versions.includes(command.name)) {
 			throw new ValeleadError(`version ${command.name} of model ${command.model} exists`, {code: RESULT_CODE.AlreadyExists});
 		}
 
-		putRecord(draft, draft.intent.models, command.model, {...model, versions: [...model.versions, command.name]});
+		putRecord(transaction, transaction.intent.models, command.model, {...model, versions: [...model.versions, command.name]});
 	},
 });
--- a/packages/intent/src/actions/drain.ts
+++ b/packages/intent/src/actions/drain.ts
@@ -14,13 +14,13 @@
 export const drain = newAction({
 	name: 'drain',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		if (command.target === 'dataCentre') {
-			putRecord(draft, draft.intent.drainedDataCentres, command.name, command.name);
+			putRecord(transaction, transaction.intent.drainedDataCentres, command.name, command.name);
 			return;
 		}
 
-		const vm = requirePresent(draft.intent.vms, command.name, 'VM');
-		putRecord(draft, draft.intent.vms, command.name, {...vm, isDrained: true});
+		const vm = requirePresent(transaction.intent.vms, command.name, 'VM');
+		putRecord(transaction, transaction.intent.vms, command.name, {...vm, isDrained: true});
 	},
 });
--- a/packages/intent/src/actions/drop-adapter.ts
+++ b/packages/intent/src/actions/drop-adapter.ts
@@ -15,9 +15,9 @@
 export const dropAdapter = newAction({
 	name: 'dropAdapter',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const key = getAdapterKey(command.model, command.name);
-		requirePresent(draft.intent.adapters, key, 'adapter');
-		deleteRecord(draft, draft.intent.adapters, key);
+		requirePresent(transaction.intent.adapters, key, 'adapter');
+		deleteRecord(transaction, transaction.intent.adapters, key);
 	},
 });
--- a/packages/intent/src/actions/drop-class.ts
+++ b/packages/intent/src/actions/drop-class.ts
@@ -14,10 +14,10 @@
 export const dropClass = newAction({
 	name: 'dropClass',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.classes, command.name, 'class');
-		const users = [...draft.intent.models.values(), ...draft.intent.services.values()];
+	perform(transaction, command) {
+		requirePresent(transaction.intent.classes, command.name, 'class');
+		const users = [...transaction.intent.models.values(), ...transaction.intent.services.values()];
 		requireUnused(users, user => user.class === command.name, `class ${command.name}`);
-		deleteRecord(draft, draft.intent.classes, command.name);
+		deleteRecord(transaction, transaction.intent.classes, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-key.ts
+++ b/packages/intent/src/actions/drop-key.ts
@@ -15,13 +15,13 @@
 export const dropKey = newAction({
 	name: 'dropKey',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const team = requirePresent(draft.intent.teams, command.team, 'team');
+	perform(transaction, command) {
+		const team = requirePresent(transaction.intent.teams, command.team, 'team');
 		const keys = team.keys.filter(key => key.name !== command.name);
 		if (keys.length === team.keys.length) {
 			throw new ValeleadError(`team ${command.team} has no key ${command.name}`, {code: RESULT_CODE.NotFound});
 		}
 
-		putRecord(draft, draft.intent.teams, command.team, {...team, keys});
+		putRecord(transaction, transaction.intent.teams, command.team, {...team, keys});
 	},
 });
--- a/packages/intent/src/actions/drop-model.ts
+++ b/packages/intent/src/actions/drop-model.ts
@@ -14,9 +14,9 @@
 export const dropModel = newAction({
 	name: 'dropModel',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.models, command.name, 'model');
-		requireUnused([...draft.intent.adapters.values()], adapter => adapter.model === command.name, `model ${command.name}`);
-		deleteRecord(draft, draft.intent.models, command.name);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.models, command.name, 'model');
+		requireUnused([...transaction.intent.adapters.values()], adapter => adapter.model === command.name, `model ${command.name}`);
+		deleteRecord(transaction, transaction.intent.models, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-operator.ts
+++ b/packages/intent/src/actions/drop-operator.ts
@@ -13,8 +13,8 @@
 export const dropOperator = newAction({
 	name: 'dropOperator',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.operators, command.name, 'operator');
-		deleteRecord(draft, draft.intent.operators, command.name);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.operators, command.name, 'operator');
+		deleteRecord(transaction, transaction.intent.operators, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-service.ts
+++ b/packages/intent/src/actions/drop-service.ts
@@ -13,8 +13,8 @@
 export const dropService = newAction({
 	name: 'dropService',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.services, command.name, 'service');
-		deleteRecord(draft, draft.intent.services, command.name);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.services, command.name, 'service');
+		deleteRecord(transaction, transaction.intent.services, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-team.ts
+++ b/packages/intent/src/actions/drop-team.ts
@@ -14,10 +14,10 @@
 export const dropTeam = newAction({
 	name: 'dropTeam',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.teams, command.name, 'team');
-		const users = [...draft.intent.models.values(), ...draft.intent.adapters.values(), ...draft.intent.services.values()];
+	perform(transaction, command) {
+		requirePresent(transaction.intent.teams, command.name, 'team');
+		const users = [...transaction.intent.models.values(), ...transaction.intent.adapters.values(), ...transaction.intent.services.values()];
 		requireUnused(users, user => user.teams.includes(command.name), `team ${command.name}`);
-		deleteRecord(draft, draft.intent.teams, command.name);
+		deleteRecord(transaction, transaction.intent.teams, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-version.ts
+++ b/packages/intent/src/actions/drop-version.ts
@@ -15,13 +15,13 @@
 export const dropVersion = newAction({
 	name: 'dropVersion',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const model = requirePresent(draft.intent.models, command.model, 'model');
+	perform(transaction, command) {
+		const model = requirePresent(transaction.intent.models, command.model, 'model');
 		if (model.version === command.name) {
 			throw new ValeleadError(`version ${command.name} of model ${command.model} is served`, {code: RESULT_CODE.StillInUse});
 		}
 
 		const versions = model.versions.filter(version => version !== command.name);
-		putRecord(draft, draft.intent.models, command.model, {...model, versions});
+		putRecord(transaction, transaction.intent.models, command.model, {...model, versions});
 	},
 });
--- a/packages/intent/src/actions/forget-vm.ts
+++ b/packages/intent/src/actions/forget-vm.ts
@@ -14,12 +14,12 @@
 export const forgetVm = newAction({
 	name: 'forgetVm',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.vms, command.name, 'VM');
-		for (const grantId of draft.intent.grantsByVm.get(command.name) ?? []) {
-			deleteGrant(draft, grantId);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.vms, command.name, 'VM');
+		for (const grantId of transaction.intent.grantsByVm.get(command.name) ?? []) {
+			deleteGrant(transaction, grantId);
 		}
 
-		deleteRecord(draft, draft.intent.vms, command.name);
+		deleteRecord(transaction, transaction.intent.vms, command.name);
 	},
 });
--- a/packages/intent/src/actions/grant.ts
+++ b/packages/intent/src/actions/grant.ts
@@ -4,7 +4,7 @@
 import {requirePresent} from '../require-present.js';
 import {getUnit} from '../get-unit.js';
 import {putGrant} from '../put-grant.js';
-import {requireRoom} from '../require-room.js';
+import {requireCapacity} from '../require-capacity.js';
 import {newAction} from '../action.js';
 
 const SCHEMA = Schema.Struct({
@@ -17,21 +17,21 @@
 export const grant = newAction({
 	name: 'grant',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const unit = getUnit(draft.intent, command.unit);
+	perform(transaction, command) {
+		const unit = getUnit(transaction.intent, command.unit);
 		if (!unit) {
 			throw new ValeleadError(`there is no unit ${command.unit}`, {code: RESULT_CODE.NotFound});
 		}
 
-		const vm = requirePresent(draft.intent.vms, command.vm, 'VM');
-		requireRoom(draft.intent, unit, vm);
-		putGrant(draft, {
-			id: `${command.unit}/${command.vm}/${draft.revision}`,
+		const vm = requirePresent(transaction.intent.vms, command.vm, 'VM');
+		requireCapacity(transaction.intent, unit, vm);
+		putGrant(transaction, {
+			id: `${command.unit}/${command.vm}/${transaction.revision}`,
 			unit: unit.key,
 			owner: unit.owner,
 			vm: vm.name,
 			memoryBytes: unit.memoryBytes,
-			fence: draft.revision,
+			fence: transaction.revision,
 			isRevoking: false,
 		});
 	},
--- a/packages/intent/src/actions/quarantine-request.ts
+++ b/packages/intent/src/actions/quarantine-request.ts
@@ -18,13 +18,13 @@
 export const quarantineRequest = newAction({
 	name: 'quarantineRequest',
 	schema: SCHEMA,
-	perform(draft, {name, upstreams, judgedAt}) {
-		const {quarantines} = draft.intent;
+	perform(transaction, {name, upstreams, judgedAt}) {
+		const {quarantines} = transaction.intent;
 		const [oldest] = quarantines.keys();
 		if (quarantines.size >= MAX_QUARANTINES && !quarantines.has(name)) {
-			deleteRecord(draft, quarantines, oldest);
+			deleteRecord(transaction, quarantines, oldest);
 		}
 
-		putRecord(draft, quarantines, name, {fingerprint: name, upstreams, judgedAt});
+		putRecord(transaction, quarantines, name, {fingerprint: name, upstreams, judgedAt});
 	},
 });
--- a/packages/intent/src/actions/register-vm.ts
+++ b/packages/intent/src/actions/register-vm.ts
@@ -23,13 +23,13 @@
 export const registerVm = newAction({
 	name: 'registerVm',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const known = draft.intent.vms.get(command.name);
+		const known = transaction.intent.vms.get(command.name);
 		if (known && isOlderIncarnation(command.incarnation, known.incarnation)) {
 			throw new ValeleadError(`VM ${command.name} is held by a newer agent`, {code: RESULT_CODE.VmAlreadyHeld});
 		}
 
-		putRecord(draft, draft.intent.vms, command.name, {...fields, isDrained: known?.isDrained ?? false});
+		putRecord(transaction, transaction.intent.vms, command.name, {...fields, isDrained: known?.isDrained ?? false});
 	},
 });
--- a/packages/intent/src/actions/release-request.ts
+++ b/packages/intent/src/actions/release-request.ts
@@ -13,8 +13,8 @@
 export const releaseRequest = newAction({
 	name: 'releaseRequest',
 	schema: SCHEMA,
-	perform(draft, {name}) {
-		requirePresent(draft.intent.quarantines, name, 'quarantined request');
-		deleteRecord(draft, draft.intent.quarantines, name);
+	perform(transaction, {name}) {
+		requirePresent(transaction.intent.quarantines, name, 'quarantined request');
+		deleteRecord(transaction, transaction.intent.quarantines, name);
 	},
 });
--- a/packages/intent/src/actions/release.ts
+++ b/packages/intent/src/actions/release.ts
@@ -16,15 +16,15 @@
 export const release = newAction({
 	name: 'release',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const vm = requirePresent(draft.intent.vms, command.vm, 'VM');
+	perform(transaction, command) {
+		const vm = requirePresent(transaction.intent.vms, command.vm, 'VM');
 		if (vm.incarnation !== command.incarnation) {
 			throw new ValeleadError(`VM ${command.vm} is held by another agent`, {code: RESULT_CODE.VmAlreadyHeld});
 		}
 
 		for (const grantId of command.grantIds) {
-			if (draft.intent.grants.get(grantId)?.vm === command.vm) {
-				deleteGrant(draft, grantId);
+			if (transaction.intent.grants.get(grantId)?.vm === command.vm) {
+				deleteGrant(transaction, grantId);
 			}
 		}
 	},
--- a/packages/intent/src/actions/revoke.ts
+++ b/packages/intent/src/actions/revoke.ts
@@ -12,8 +12,8 @@
 export const revoke = newAction({
 	name: 'revoke',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const grant = requirePresent(draft.intent.grants, command.grantId, 'grant');
-		putRecord(draft, draft.intent.grants, grant.id, {...grant, isRevoking: true});
+	perform(transaction, command) {
+		const grant = requirePresent(transaction.intent.grants, command.grantId, 'grant');
+		putRecord(transaction, transaction.intent.grants, grant.id, {...grant, isRevoking: true});
 	},
 });
--- a/packages/intent/src/actions/start.ts
+++ b/packages/intent/src/actions/start.ts
@@ -13,7 +13,7 @@
 export const start = newAction({
 	name: 'start',
 	schema: SCHEMA,
-	perform(draft, command) {
-		mutateStopped(draft, command.target, command.name, false);
+	perform(transaction, command) {
+		mutateStopped(transaction, command.target, command.name, false);
 	},
 });
--- a/packages/intent/src/actions/stop.ts
+++ b/packages/intent/src/actions/stop.ts
@@ -13,7 +13,7 @@
 export const stop = newAction({
 	name: 'stop',
 	schema: SCHEMA,
-	perform(draft, command) {
-		mutateStopped(draft, command.target, command.name, true);
+	perform(transaction, command) {
+		mutateStopped(transaction, command.target, command.name, true);
 	},
 });
--- a/packages/intent/src/actions/undrain.ts
+++ b/packages/intent/src/actions/undrain.ts
@@ -15,14 +15,14 @@
 export const undrain = newAction({
 	name: 'undrain',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		if (command.target === 'dataCentre') {
-			requirePresent(draft.intent.drainedDataCentres, command.name, 'drained data centre');
-			deleteRecord(draft, draft.intent.drainedDataCentres, command.name);
+			requirePresent(transaction.intent.drainedDataCentres, command.name, 'drained data centre');
+			deleteRecord(transaction, transaction.intent.drainedDataCentres, command.name);
 			return;
 		}
 
-		const vm = requirePresent(draft.intent.vms, command.name, 'VM');
-		putRecord(draft, draft.intent.vms, command.name, {...vm, isDrained: false});
+		const vm = requirePresent(transaction.intent.vms, command.name, 'VM');
+		putRecord(transaction, transaction.intent.vms, command.name, {...vm, isDrained: false});
 	},
 });
--- a/packages/intent/src/delete-grant.ts
+++ b/packages/intent/src/delete-grant.ts
@@ -1,25 +1,25 @@
 import {deleteRecord} from './delete-record.js';
 import {putRecord} from './put-record.js';
-import type {Draft} from './draft.js';
+import type {Transaction} from './transaction.js';
 
-const mutateIndex = (draft: Draft, index: Map<string, readonly string[]>, key: string, grantId: string): void => {
-	const left = (index.get(key) ?? []).filter(candidate => candidate !== grantId);
-	if (left.length === 0) {
-		deleteRecord(draft, index, key);
+const mutateIndex = (transaction: Transaction, index: Map<string, readonly string[]>, key: string, grantId: string): void => {
+	const remainingIds = (index.get(key) ?? []).filter(candidate => candidate !== grantId);
+	if (remainingIds.length === 0) {
+		deleteRecord(transaction, index, key);
 		return;
 	}
 
-	putRecord(draft, index, key, left);
+	putRecord(transaction, index, key, remainingIds);
 };
 
 /** Removes a grant from the table and its indexes. */
-export const deleteGrant = (draft: Draft, grantId: string): void => {
-	const grant = draft.intent.grants.get(grantId);
+export const deleteGrant = (transaction: Transaction, grantId: string): void => {
+	const grant = transaction.intent.grants.get(grantId);
 	if (!grant) {
 		return;
 	}
 
-	deleteRecord(draft, draft.intent.grants, grantId);
-	mutateIndex(draft, draft.intent.grantsByVm, grant.vm, grantId);
-	mutateIndex(draft, draft.intent.grantsByOwner, grant.owner, grantId);
+	deleteRecord(transaction, transaction.intent.grants, grantId);
+	mutateIndex(transaction, transaction.intent.grantsByVm, grant.vm, grantId);
+	mutateIndex(transaction, transaction.intent.grantsByOwner, grant.owner, grantId);
 };
--- a/packages/intent/src/delete-record.ts
+++ b/packages/intent/src/delete-record.ts
@@ -1,13 +1,13 @@
-import type {Draft} from './draft.js';
+import type {Transaction} from './transaction.js';
 
 /** Deletes a record and notes how to undo it. */
-export const deleteRecord = <Value>(draft: Draft, records: Map<string, Value>, key: string): void => {
+export const deleteRecord = <Value>(transaction: Transaction, records: Map<string, Value>, key: string): void => {
 	const previous = records.get(key);
 	if (previous === undefined) {
 		return;
 	}
 
-	draft.undo.push(() => {
+	transaction.undo.push(() => {
 		records.set(key, previous);
 	});
 	records.delete(key);
--- a/packages/intent/src/has-access.ts
+++ b/packages/intent/src/has-access.ts
@@ -1,6 +1,6 @@
-type Shared = {
+type SharedResource = {
 	readonly teams: readonly string[];
 };
 
 /** Whether a team may use a model, adapter or service. */
-export const hasAccess = (shared: Shared, team: string): boolean => shared.teams.includes(team);
+export const hasAccess = (resource: SharedResource, team: string): boolean => resource.teams.includes(team);
--- a/packages/intent/src/mutate-claims.ts
+++ b/packages/intent/src/mutate-claims.ts
@@ -7,7 +7,7 @@
 /** How long a claim is kept after its request's time ran out: a resend within this time never runs again. */
 const CLAIM_RETENTION_MS = 86_400_000;
 
-const mutateExpired = (claims: Claims, at: number): void => {
+const mutateExpiredClaims = (claims: Claims, at: number): void => {
 	for (const [key, claim] of claims) {
 		if (claim.deadlineAt + CLAIM_RETENTION_MS > at) {
 			break;
@@ -43,7 +43,7 @@
 	return claim.answer ? {kind: 'settled', claim} : {kind: 'running', claim, isOverdue: at > claim.deadlineAt};
 };
 
-const mutateSettled = (claims: Claims, command: Extract<ClaimCommand, {kind: 'settle'}>): ClaimResult => {
+const mutateSettledClaim = (claims: Claims, command: Extract<ClaimCommand, {kind: 'settle'}>): ClaimResult => {
 	const key = getClaimKey(command.team, command.key);
 	const claim = claims.get(key);
 	if (claim?.owner !== command.owner || claim.answer) {
@@ -62,6 +62,6 @@
 
 /** Applies a claim command at the leader's wall time, in milliseconds. */
 export const mutateClaims = (claims: Claims, at: number, command: ClaimCommand): ClaimResult => {
-	mutateExpired(claims, at);
-	return command.kind === 'claim' ? mutateClaimed(claims, at, command) : mutateSettled(claims, command);
+	mutateExpiredClaims(claims, at);
+	return command.kind === 'claim' ? mutateClaimed(claims, at, command) : mutateSettledClaim(claims, command);
 };
--- a/packages/intent/src/mutate-intent.ts
+++ b/packages/intent/src/mutate-intent.ts
@@ -2,16 +2,16 @@
 import {ACTIONS} from './actions.js';
 import type {Command} from './command.js';
 import type {CommandResult} from './command-result.js';
-import type {Draft} from './draft.js';
+import type {Transaction} from './transaction.js';
 import type {Intent} from './intent.js';
 import type {Proposal} from './proposal.js';
 
 /** Results that are kept for resent commands; the oldest is dropped first. */
 const MAX_RESULTS = 10_000;
 
-type AnyPerform = (draft: Draft, command: Command) => void;
+type CommandHandler = (transaction: Transaction, command: Command) => void;
 
-const PERFORMS: ReadonlyMap<string, AnyPerform> = new Map(ACTIONS.map(action => [action.name, action.perform as AnyPerform]));
+const HANDLERS: ReadonlyMap<string, CommandHandler> = new Map(ACTIONS.map(action => [action.name, action.perform as CommandHandler]));
 
 const mutateResults = (intent: Intent, commandId: string, result: CommandResult): CommandResult => {
 	if (commandId === '') {
@@ -28,13 +28,13 @@
 };
 
 const mutateCommands = (intent: Intent, commands: readonly Command[]): CommandResult => {
-	const draft: Draft = {intent, revision: intent.revision + 1, undo: []};
+	const transaction: Transaction = {intent, revision: intent.revision + 1, undo: []};
 	try {
 		for (const command of commands) {
-			PERFORMS.get(command.kind)!(draft, command);
+			HANDLERS.get(command.kind)!(transaction, command);
 		}
 	} catch (error) {
-		for (const undo of draft.undo.reverse()) {
+		for (const undo of transaction.undo.reverse()) {
 			undo();
 		}
 
@@ -45,8 +45,8 @@
 		throw error;
 	}
 
-	intent.revision = draft.revision;
-	return {code: RESULT_CODE.Ok, message: '', revision: draft.revision};
+	intent.revision = transaction.revision;
+	return {code: RESULT_CODE.Ok, message: '', revision: transaction.revision};
 };
 
 /**
--- a/packages/intent/src/put-grant.ts
+++ b/packages/intent/src/put-grant.ts
@@ -1,11 +1,11 @@
 import {putRecord} from './put-record.js';
-import type {Draft} from './draft.js';
+import type {Transaction} from './transaction.js';
 import type {Grant} from './grant.js';
 
 /** Adds a grant to the table and its indexes. */
-export const putGrant = (draft: Draft, grant: Grant): void => {
-	const {grants, grantsByVm, grantsByOwner} = draft.intent;
-	putRecord(draft, grants, grant.id, grant);
-	putRecord(draft, grantsByVm, grant.vm, [...(grantsByVm.get(grant.vm) ?? []), grant.id]);
-	putRecord(draft, grantsByOwner, grant.owner, [...(grantsByOwner.get(grant.owner) ?? []), grant.id]);
+export const putGrant = (transaction: Transaction, grant: Grant): void => {
+	const {grants, grantsByVm, grantsByOwner} = transaction.intent;
+	putRecord(transaction, grants, grant.id, grant);
+	putRecord(transaction, grantsByVm, grant.vm, [...(grantsByVm.get(grant.vm) ?? []), grant.id]);
+	putRecord(transaction, grantsByOwner, grant.owner, [...(grantsByOwner.get(grant.owner) ?? []), grant.id]);
 };
--- a/packages/intent/src/put-record.ts
+++ b/packages/intent/src/put-record.ts
@@ -1,9 +1,9 @@
-import type {Draft} from './draft.js';
+import type {Transaction} from './transaction.js';
 
 /** Sets a record and notes how to undo it. */
-export const putRecord = <Value>(draft: Draft, records: Map<string, Value>, key: string, value: Value): void => {
+export const putRecord = <Value>(transaction: Transaction, records: Map<string, Value>, key: string, value: Value): void => {
 	const previous = records.get(key);
-	draft.undo.push(() => {
+	transaction.undo.push(() => {
 		if (previous === undefined) {
 			records.delete(key);
 		} else {
--- a/packages/intent/src/require-room.ts
+++ b/packages/intent/src/require-capacity.ts
@@ -11,9 +11,9 @@
 };
 
 /** Throws if a grant would exceed the replicas of the unit's owner or the memory of the VM. */
-export const requireRoom = (intent: Intent, unit: Unit, vm: Vm): void => {
-	const held = intent.grantsByOwner.get(unit.owner) ?? [];
-	requireThat(held.length < unit.maxReplicas, `${unit.owner} has its ${unit.maxReplicas} replicas`);
+export const requireCapacity = (intent: Intent, unit: Unit, vm: Vm): void => {
+	const grantIds = intent.grantsByOwner.get(unit.owner) ?? [];
+	requireThat(grantIds.length < unit.maxReplicas, `${unit.owner} has its ${unit.maxReplicas} replicas`);
 	requireThat(getCommittedBytes(intent, vm.name) + unit.memoryBytes <= vm.memoryBytes, `VM ${vm.name} has no room for ${unit.key}`);
 	const onVm = (intent.grantsByVm.get(vm.name) ?? []).map(grantId => intent.grants.get(grantId)!);
 	requireThat(onVm.every(grant => grant.unit !== unit.key), `VM ${vm.name} has ${unit.key}`);
