--- a/packages/access/src/get-key-faults.ts
+++ b/packages/access/src/get-key-faults.ts
@@ -4,7 +4,7 @@
 
 const EMPTY_HASH = hashKey('');
 
-/** Every fault of the teams' names and keys: a key stands for one team, once. */
+/** Returns all faults in the names and keys of the teams: duplicate names, duplicate keys and empty keys. */
 export const getKeyFaults = (teams: Iterable<KeyHolder>): KeyFault[] => {
 	const names = new Set<string>();
 	const teamsByHash = new Map<string, string>();
--- a/packages/access/src/hash-key.ts
+++ b/packages/access/src/hash-key.ts
@@ -1,4 +1,4 @@
 import {createHash} from 'node:crypto';
 
-/** SHA-256 of a key in hexadecimal. Keys are random, so that no salt is needed. */
+/** Returns the SHA-256 digest of a key in hexadecimal. No salt is needed, as keys are random. */
 export const hashKey = (key: string): string => createHash('sha256').update(key).digest('hex');
--- a/packages/access/src/key-fault.ts
+++ b/packages/access/src/key-fault.ts
@@ -1,4 +1,4 @@
-/** Why the keys of a team cannot be accepted. The reason names no key. */
+/** A fault for which the name or the keys of a team are rejected. The reason never contains a key. */
 export type KeyFault = {
 	readonly team: string;
 	readonly reason: string;
--- a/packages/access/src/key-holder.ts
+++ b/packages/access/src/key-holder.ts
@@ -1,6 +1,6 @@
-/** A team and the digests of the keys that its callers carry. */
+/** The name of a team and the digests of the keys with which its callers authenticate. */
 export type KeyHolder = {
 	readonly name: string;
-	/** SHA-256 in hexadecimal. */
+	/** SHA-256 digests of the keys, in hexadecimal. */
 	readonly keyHashes: readonly string[];
 };
--- a/packages/access/src/key-table.ts
+++ b/packages/access/src/key-table.ts
@@ -1,2 +1,2 @@
-/** The teams of all keys, by the digests of the keys. */
+/** Maps the digest of each key to the name of its team. */
 export type KeyTable = ReadonlyMap<string, string>;
--- a/packages/access/src/new-key-table.ts
+++ b/packages/access/src/new-key-table.ts
@@ -1,7 +1,7 @@
 import type {KeyHolder} from './key-holder.js';
 import type {KeyTable} from './key-table.js';
 
-/** Indexes the keys of teams. */
+/** Builds the table that maps key digests to team names. */
 export const newKeyTable = (teams: Iterable<KeyHolder>): KeyTable => {
 	const table = new Map<string, string>();
 	for (const {name, keyHashes} of teams) {
--- a/packages/access/tests/access.feature
+++ b/packages/access/tests/access.feature
@@ -1,13 +1,13 @@
 Feature: Keys of teams
-  A key stands for one team, and only its digest is held.
+  Each key belongs to exactly one team, and only the digest of a key is stored.
 
-  Scenario: The team of a key
+  Scenario: A key is resolved to its team
     Given team "foundry" with keys "a1, a2" and team "mill" with keys "b1"
     Then key "a2" belongs to team "foundry" and key "b1" to team "mill"
-    And keys "a, A2, a1 , a1;a2" belong to nobody
+    And keys "a, A2, a1 , a1;a2" belong to no team
     And the table holds none of the keys in plain text
 
-  Scenario Outline: Keys that cannot be accepted
+  Scenario Outline: Invalid keys and team names are rejected
     Given team "foundry" with keys "<first>" and team "<name>" with keys "<second>"
     Then the fault of team "<name>" says "<reason>", and names no key
 
--- a/packages/access/tests/access.steps.ts
+++ b/packages/access/tests/access.steps.ts
@@ -21,7 +21,7 @@
 	assert.deepEqual([getKeyHolder(table, first), getKeyHolder(table, second)], [firstTeam, secondTeam]);
 });
 
-Then('keys {string} belong to nobody', function (this: AccessWorld, keys: string) {
+Then('keys {string} belong to no team', function (this: AccessWorld, keys: string) {
 	const table = newKeyTable(this.teams);
 	for (const key of keys.split(', ')) {
 		assert.equal(getKeyHolder(table, key), undefined, key);
--- a/packages/common/src/abort-request.ts
+++ b/packages/common/src/abort-request.ts
@@ -1,17 +1,17 @@
 import type {ClientRequest} from 'node:http';
 
 /**
- * Ends a request that is no longer wanted by resetting its connection. An orderly close would let the system deliver what the other side has not
- * received yet, once its machine goes on or the path to it is back. A request that is over is left alone.
+ * Aborts a request in progress by resetting its connection. After an orderly close, the operating system would still deliver unsent data once the
+ * other machine resumes or the network path to it recovers. A request that has ended is not touched.
  */
 export const abortRequest = (request: ClientRequest): void => {
-	// Its connection is free, and may already serve another request.
+	// The connection of an ended request is free and may already serve another request.
 	if (request.destroyed) {
 		return;
 	}
 
 	const {socket} = request;
-	// A connection that is still coming up has delivered nothing, and `resetAndDestroy` would wait for it.
+	// A connection that is still being established has delivered nothing, and `resetAndDestroy` would wait until it is established.
 	if (socket && !socket.connecting) {
 		socket.resetAndDestroy();
 	}
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -1,7 +1,7 @@
-/** The time of a process. */
+/** The clocks that a process reads: monotonic time and wall-clock time. */
 export type Clock = {
-	/** Monotonic milliseconds; only differences mean anything. */
+	/** Monotonic time in milliseconds. Its origin is arbitrary, so only differences are meaningful. */
 	readonly now: () => number;
-	/** Milliseconds since the Unix epoch. */
+	/** Wall-clock time in milliseconds since the Unix epoch. */
 	readonly wallNow: () => number;
 };
--- a/packages/common/src/lease-end.ts
+++ b/packages/common/src/lease-end.ts
@@ -3,13 +3,13 @@
 
 type LeaseOptions = {
 	readonly clock: Clock;
-	/** Tells when the process was last suspended, and for how long in all. */
+	/** The time of the last suspension of the process and the total time of its suspensions. */
 	readonly suspensions: Pick<SuspensionWatch, 'resumedAt' | 'lostMs'>;
-	/** How long a confirmation is good for after it was asked for, in milliseconds. */
+	/** How long the lease lasts after its renewal was requested, in milliseconds. */
 	readonly lengthMs: number;
 };
 
-/** Until when this process may do what another one confirms from time to time, by a time that goes on in suspensions. */
+/** A lease that another process renews by its confirmations. The lease also runs out while this process is suspended. */
 export class LeaseEnd {
 	readonly #options: LeaseOptions;
 	#endMs = Number.NEGATIVE_INFINITY;
@@ -19,9 +19,9 @@
 	}
 
 	/**
-	 * Takes a confirmation; returns whether it counts.
-	 * @param requestedAt - When this process asked for it, in monotonic milliseconds; one from before a suspension does not count, as nobody knows how long
-	 * ago that is.
+	 * Renews the lease on a confirmation and returns true. If the confirmation was requested before the last suspension, its age is unknown: the lease
+	 * stays as it is and the result is false.
+	 * @param requestedAt - When this process requested the confirmation, in monotonic milliseconds.
 	 */
 	confirm(requestedAt: number): boolean {
 		const {suspensions, lengthMs} = this.#options;
@@ -33,11 +33,12 @@
 		return true;
 	}
 
-	/** The end on the monotonic clock, if the process is not suspended again. */
+	/** When the lease expires, in monotonic milliseconds, provided that the process is not suspended until then. */
 	get at(): number {
 		return this.#endMs - this.#options.suspensions.lostMs;
 	}
 
+	/** True if the lease has expired or was never granted. */
 	get isOver(): boolean {
 		return this.#options.clock.now() >= this.at;
 	}
--- a/packages/common/src/load-state-chart.ts
+++ b/packages/common/src/load-state-chart.ts
@@ -9,7 +9,7 @@
 	states: Schema.Record(Schema.String, Schema.Struct({on: Schema.Record(Schema.String, Schema.String)})),
 });
 
-/** Reads a chart from its JSON file and checks that every target exists. */
+/** Loads a state chart from its JSON file. Throws if the file is malformed or a transition leads to a state that does not exist. */
 export const loadStateChart = (file: URL): StateChart => {
 	const chart = Schema.decodeUnknownSync(CHART_SCHEMA)(JSON.parse(readFileSync(file, 'utf8')));
 	invariant(chart.states[chart.initial], `chart ${chart.name} has its initial state`);
--- a/packages/common/src/outcome-value.ts
+++ b/packages/common/src/outcome-value.ts
@@ -1,4 +1,4 @@
 import type {OUTCOME} from './outcome.js';
 
-/** One of the values of OUTCOME. */
+/** A value of the constant object OUTCOME. */
 export type OutcomeValue = (typeof OUTCOME)[keyof typeof OUTCOME];
--- a/packages/common/src/outcome.ts
+++ b/packages/common/src/outcome.ts
@@ -1,4 +1,4 @@
-/** What is known of a request's execution when its answer is given. */
+/** States whether a request has run on an upstream, as far as this is known when its response is sent. */
 export const OUTCOME = {
 	NotRun: 'not_run',
 	Unknown: 'unknown',
--- a/packages/common/src/receive-response.ts
+++ b/packages/common/src/receive-response.ts
@@ -2,9 +2,9 @@
 import {abortRequest} from './abort-request.js';
 
 /**
- * Resolves with the head of the answer to a request that is being sent; rejects where none comes. Once the request's own timeout has passed, or its caller has
- * given it up, the request is aborted, also if the answer has begun.
- * @param signal - Tells that nobody wants the answer any more.
+ * Waits for the response to a request that is being sent. Resolves once the response head has arrived, and rejects if the request fails before. The
+ * request is aborted after its own timeout or when the signal fires, even if the response has already begun.
+ * @param signal - Fires when the response is no longer needed.
  */
 export const receiveResponse = async (request: ClientRequest, signal?: AbortSignal): Promise<IncomingMessage> => new Promise((resolve, reject) => {
 	const abort = (reason: string): void => {
--- a/packages/common/src/result-code.ts
+++ b/packages/common/src/result-code.ts
@@ -1,7 +1,7 @@
 /**
- * Numbered result codes. The table with meanings is docs/ERRORS.md.
- * 1xxx: the caller's request; 2xxx: refusals under load or loss; 3xxx: upstreams;
- * 4xxx: control; 5xxx: storage and settings; 6xxx: the operator language.
+ * Numeric result codes of requests and commands; docs/ERRORS.md explains each of them.
+ * 1xxx: faults of the caller's request; 2xxx: refusals because of load or failures; 3xxx: upstream failures;
+ * 4xxx: control plane; 5xxx: storage and settings; 6xxx: the operator language.
  */
 export const RESULT_CODE = {
 	Ok: 0,
--- a/packages/common/src/result-detail.ts
+++ b/packages/common/src/result-detail.ts
@@ -1,7 +1,7 @@
-/** How a result code is presented to callers and operators. */
+/** The description of a result code for callers and operators. */
 export type ResultDetail = {
 	readonly name: string;
-	/** HTTP status that carries the code. */
+	/** HTTP status of a response with this result code. */
 	readonly status: number;
 	readonly meaning: string;
 	readonly action: string;
--- a/packages/common/src/result-details.ts
+++ b/packages/common/src/result-details.ts
@@ -9,7 +9,7 @@
 	action,
 });
 
-/** The meaning of every result code. docs/ERRORS.md is written from this table and a test compares the two. */
+/** Descriptions of all result codes. docs/ERRORS.md is derived from this table, and a test checks that the two agree. */
 export const RESULT_DETAILS: Readonly<Record<ResultCodeValue, ResultDetail>> = {
 	[RESULT_CODE.Ok]: newDetail('Ok', 200, 'The request or command succeeded.', 'Nothing.'),
 	[RESULT_CODE.MalformedRequest]: newDetail('MalformedRequest', 400, 'The body or a header could not be understood.', 'Correct the request.'),
--- a/packages/common/src/state-chart.ts
+++ b/packages/common/src/state-chart.ts
@@ -1,4 +1,4 @@
-/** A state chart as its JSON file holds it: for each state, the next state on each event. */
+/** A state chart in the format of its JSON file: each state maps events to the next state. */
 export type StateChart = {
 	readonly name: string;
 	readonly initial: string;
--- a/packages/common/src/suspension-watch.ts
+++ b/packages/common/src/suspension-watch.ts
@@ -1,22 +1,23 @@
 import type {Clock} from './clock.js';
 
-/** Time that the monotonic clock may miss before that counts as a suspension, in milliseconds; under the margin of every lease. */
+/** The shortest gap of the monotonic clock that counts as a suspension, in milliseconds. It is below the safety margin of every lease. */
 const MIN_SUSPENSION_MS = 25;
 
-/** How fast the clocks may part without a suspension, in milliseconds a millisecond: twice the most that time services slew. */
+/** Drift between the clocks that does not count as a suspension, in milliseconds per millisecond: twice the maximum slew rate of time services. */
 const MAX_DRIFT_MS_PER_MS = 0.001;
 
 /**
- * Notices that the process was suspended together with its machine. The monotonic clock stands still then and the time of day does not, so a time of
- * day that gains on the monotonic clock shows it. A time of day that is set forward looks the same; whoever holds something for a time confirms
- * it anew in both cases. One that is set back by as much as the suspension lasted hides it, and has to fall into the same moment.
+ * Detects that the process was suspended together with its machine. The monotonic clock stops during a suspension but the wall clock does not, so a
+ * suspension shows as a wall clock that has gained on the monotonic clock. A wall clock that is set forward looks the same; the holder of a lease
+ * has to renew it in both cases. A suspension goes unnoticed only if the wall clock is set back by its length at the same moment.
  *
- * Node offers no clock that goes on: `CLOCK_BOOTTIME` needs a native module, and `/proc/uptime` is the host's where a machine is a container.
+ * Node has no clock that counts suspended time: `CLOCK_BOOTTIME` needs a native module, and in a container `/proc/uptime` belongs to the host.
  */
 export class SuspensionWatch {
 	readonly #clock: Clock;
-	/** The least by which the time of day was ahead of the monotonic clock, with the drift since allowed for, and when that was worked out. */
+	/** The smallest lead of the wall clock over the monotonic clock since the last suspension, plus the permitted drift. */
 	#wallLeadMs: number;
+	/** When the lead was last computed, in monotonic milliseconds. */
 	#checkedAt: number;
 	#resumedAt = Number.NEGATIVE_INFINITY;
 	#lostMs = 0;
@@ -28,15 +29,18 @@
 	}
 
 	/**
-	 * When the last suspension was noticed, in monotonic milliseconds; minus infinity before the first. What was granted or sent before may be
-	 * older than the monotonic clock shows. Each call looks anew, at some 0.1 µs.
+	 * When the last suspension was detected, in monotonic milliseconds; minus infinity if there was none. Grants and messages from before that time may
+	 * be older than the monotonic clock shows. Each call compares the clocks again, which takes about 0.1 µs.
 	 */
 	get resumedAt(): number {
 		this.#check();
 		return this.#resumedAt;
 	}
 
-	/** Time that the monotonic clock has missed in all, in milliseconds; too much rather than too little. Each call looks anew. */
+	/**
+	 * Total time that the monotonic clock has missed in suspensions, in milliseconds; rather overestimated than underestimated. Each call compares the
+	 * clocks again.
+	 */
 	get lostMs(): number {
 		this.#check();
 		return this.#lostMs;
--- a/packages/common/src/system-timeout-scheduler.ts
+++ b/packages/common/src/system-timeout-scheduler.ts
@@ -1,6 +1,6 @@
 import type {Wakeups} from './wakeups.js';
 
-/** The runtime's own timers. */
+/** Schedules timeouts with the timers of the Node runtime. */
 export const SYSTEM_TIMEOUT_SCHEDULER: Wakeups = {
 	set: (run, delayMs) => setTimeout(run, delayMs),
 	clear(handle) {
--- a/packages/common/src/timer-service.ts
+++ b/packages/common/src/timer-service.ts
@@ -12,7 +12,7 @@
 
 const MAX_WAIT_MS = 1000;
 
-/** The one source of time events of a process. Parts subscribe to it in place of setting timers of their own. */
+/** Provides all timer events of a process. Components subscribe to it instead of setting their own timers. */
 export class TimerService {
 	readonly #clock: Clock;
 	readonly #scheduler: Wakeups;
@@ -26,12 +26,12 @@
 		this.#scheduler = scheduler;
 	}
 
-	/** Calls back every `periodMs` milliseconds. */
+	/** Calls the callback every `periodMs` milliseconds. */
 	repeat(periodMs: number, callback: (now: number) => void): TimerSubscription {
 		return this.#subscribe(periodMs, periodMs, callback);
 	}
 
-	/** Calls back once after `delayMs` milliseconds. */
+	/** Calls the callback once after `delayMs` milliseconds. */
 	after(delayMs: number, callback: (now: number) => void): TimerSubscription {
 		return this.#subscribe(delayMs, undefined, callback);
 	}
--- a/packages/common/src/timer-subscription.ts
+++ b/packages/common/src/timer-subscription.ts
@@ -1,4 +1,4 @@
-/** A running subscription to the timer service. */
+/** A subscription to events of a timer service, which can be cancelled. */
 export type TimerSubscription = {
 	readonly cancel: () => void;
 };
--- a/packages/common/src/valelead-error.ts
+++ b/packages/common/src/valelead-error.ts
@@ -9,7 +9,7 @@
 	readonly retryAfterMs?: number;
 };
 
-/** An error with a numbered result code. */
+/** An error with a result code, and optionally the outcome of the request and the time after which to retry. */
 const ValeleadError = ModernError.subclass('ValeleadError', {
 	custom: class extends ModernError {
 		readonly code: ResultCodeValue;
--- a/packages/engine/src/agent-orders.ts
+++ b/packages/engine/src/agent-orders.ts
@@ -1,6 +1,6 @@
 import type {AgentGrant} from './agent-grant.js';
 
-/** What the leader wants of a VM at a revision. */
+/** The grants and the drain state that the leader has decided for a VM, as of a revision of the configuration. */
 export type AgentOrders = {
 	readonly revision: number;
 	readonly isDrained: boolean;
--- a/packages/engine/src/agent-settings.ts
+++ b/packages/engine/src/agent-settings.ts
@@ -1,15 +1,15 @@
-/** Timing and limits of an agent. Times in milliseconds. */
+/** Timing and limits of an agent. Times are in milliseconds. */
 export type AgentSettings = {
-	/** How long a credit is valid on the agent's clock. */
+	/** Lifetime of a credit on the agent's clock. A credit permits an entry to send one request to the agent. */
 	readonly creditMs: number;
-	/** Credits that an entry holds in advance. */
+	/** Minimum number of credits that the agent tries to keep issued to each entry that has requests to send. */
 	readonly spareCredits: number;
-	/** Without word from the leader for longer, no new work is taken. */
+	/** The agent refuses new requests once its last contact with the leader is older than this. */
 	readonly maxConfigurationAgeMs: number;
-	/** Without word from the leader for longer, all units are unloaded. */
+	/** The agent unloads all units once its last contact with the leader is older than this. */
 	readonly replicaLeaseMs: number;
-	/** Time after which an order that was lost can no longer reach the engine. */
+	/** Time after which a lost load or unload order can no longer reach the engine. */
 	readonly settleMs: number;
-	/** Wait before a refused load is ordered again. */
+	/** Delay before the agent orders a failed load again. */
 	readonly loadRetryMs: number;
 };
--- a/packages/engine/src/get-closed-code.ts
+++ b/packages/engine/src/get-closed-code.ts
@@ -2,7 +2,7 @@
 import type {AgentSettings} from './agent-settings.js';
 import type {AgentState} from './agent-state.js';
 
-/** Why the agent takes no new work at all, or undefined if it does. */
+/** Returns the result code with which the agent refuses every new request, or undefined if it accepts requests. */
 export const getClosedCode = (state: AgentState, settings: AgentSettings, now: number): ResultCodeValue | undefined => {
 	if (state.isStopping || state.isDrained) {
 		return RESULT_CODE.Draining;
--- a/packages/engine/src/get-used-bytes.ts
+++ b/packages/engine/src/get-used-bytes.ts
@@ -1,7 +1,7 @@
 import {UNIT_STATE} from './unit-state.js';
 import type {AgentState} from './agent-state.js';
 
-/** Memory that the engine holds or may come to hold from orders given, in bytes. */
+/** Returns the memory, in bytes, that loaded units use or that outstanding orders may still make the engine use. */
 export const getUsedBytes = (state: AgentState): number => {
 	let bytes = 0;
 	for (const unit of state.units.values()) {
--- a/packages/engine/src/http-upstream.ts
+++ b/packages/engine/src/http-upstream.ts
@@ -75,7 +75,7 @@
 
 const isConnectionRefused = (error: unknown): boolean => (error as {code?: string}).code === 'ECONNREFUSED';
 
-/** An upstream that speaks HTTP. */
+/** Talks to an upstream over HTTP: queries its status, sends orders and forwards requests. */
 export class HttpUpstream implements Upstream {
 	readonly #host: string;
 	readonly #port: number;
--- a/packages/engine/src/index.ts
+++ b/packages/engine/src/index.ts
@@ -5,7 +5,7 @@
 export type {UpstreamAbilities} from './upstream-abilities.js';
 export type {UpstreamOrder} from './upstream-order.js';
 export type {UpstreamRequest} from './upstream-request.js';
-export type {UpstreamResponse as UpstreamAnswer} from './upstream-response.js';
+export type {UpstreamResponse} from './upstream-response.js';
 export type {OrderResult} from './order-result.js';
 export {HttpUpstream} from './http-upstream.js';
 export type {AgentSettings} from './agent-settings.js';
--- a/packages/engine/src/mutate-agent.ts
+++ b/packages/engine/src/mutate-agent.ts
@@ -36,7 +36,10 @@
 	return [];
 };
 
-/** Without word from the leader for a lease, the replicas are given up; their grants stay until it hears so. */
+/**
+ * Starts to unload all units once the agent has had no contact with the leader for the replica lease. The grants stay until the leader learns that
+ * the units are unloaded.
+ */
 const mutateUnitsAtLeaseEnd = (state: AgentState, settings: AgentSettings, now: number): void => {
 	if (now - state.confirmedAt <= settings.replicaLeaseMs || state.confirmedAt === Number.NEGATIVE_INFINITY) {
 		return;
@@ -120,7 +123,10 @@
 	}
 };
 
-/** Advances an agent by one event at its monotonic time in milliseconds, and returns what must be done. */
+/**
+ * Applies one event to the state of an agent and returns the actions to carry out.
+ * @param now - The agent's monotonic time in milliseconds.
+ */
 export const mutateAgent = (state: AgentState, settings: AgentSettings, event: AgentEvent, now: number): AgentEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
 	return [...effects, ...mutateDueOrders(state, now), ...mutateCredits(state, settings, now)];
--- a/packages/engine/src/mutate-attempt-end.ts
+++ b/packages/engine/src/mutate-attempt-end.ts
@@ -1,9 +1,9 @@
 import type {AgentState} from './agent-state.js';
 
-/** Attempts that are remembered after their end. */
+/** Attempts that the agent remembers so that entries can query their outcome. Beyond this number, the oldest attempts are forgotten once ended. */
 const MAX_REMEMBERED_ATTEMPTS = 20_000;
 
-/** Notes the end of an accepted attempt. */
+/** Marks an accepted attempt as ended and frees its place in the upstream's capacity. */
 export const mutateAttemptEnd = (state: AgentState, attemptId: string, now: number): void => {
 	const attempt = state.attempts.get(attemptId);
 	if (!attempt || attempt.isEnded) {
--- a/packages/engine/src/mutate-credits.ts
+++ b/packages/engine/src/mutate-credits.ts
@@ -16,10 +16,10 @@
 
 const getTargetCredits = (wanted: number, settings: AgentSettings): number => wanted === 0 ? 0 : Math.max(wanted, settings.spareCredits);
 
-/** A lane is filled up when half of its credits are gone, so that not every dispatch calls for a message. */
-const isRefillDue = (credits: number, target: number, isBeingFilled: boolean): boolean => credits < target && (isBeingFilled || credits <= target / 2);
+/** Returns true if an entry gets another credit. A refill starts once at most half of the target is left, so that not each request costs a message. */
+const isRefillDue = (count: number, target: number, isBeingFilled: boolean): boolean => count < target && (isBeingFilled || count <= target / 2);
 
-/** Issues free places of the upstream to the entries, those with fewest credits first. */
+/** Issues the unused capacity of the upstream to the entries as credits; the entry with the fewest credits is served first. */
 export const mutateCredits = (state: AgentState, settings: AgentSettings, now: number): AgentEffect[] => {
 	mutateExpired(state, now);
 	if (getClosedCode(state, settings, now) !== undefined) {
--- a/packages/engine/src/mutate-dispatch.ts
+++ b/packages/engine/src/mutate-dispatch.ts
@@ -40,7 +40,10 @@
 	return isReady ? undefined : RESULT_CODE.UnitNotReady;
 };
 
-/** Accepts a dispatch or refuses it. A refused one never reaches the upstream, unless it repeats an attempt that was accepted. */
+/**
+ * Accepts or refuses a request that an entry dispatched to this agent. A refused request never reaches the upstream, unless it repeats an attempt
+ * that was accepted before.
+ */
 export const mutateDispatch = (state: AgentState, settings: AgentSettings, dispatch: Dispatch, now: number): AgentEffect[] => {
 	const isKnown = state.attempts.has(dispatch.attemptId);
 	const code = getDispatchRefusalCode(state, settings, dispatch, now);
--- a/packages/engine/src/mutate-due-orders.ts
+++ b/packages/engine/src/mutate-due-orders.ts
@@ -6,10 +6,13 @@
 import type {AgentUnit} from './agent-unit.js';
 import type {UpstreamOrder} from './upstream-order.js';
 
-/** The newest revision is the fencing number, as an engine may compare it over all units and orders need not come in the order of grants. */
+/**
+ * Returns an order with the newest revision as its fencing token: an engine may compare tokens across units, and orders need not be sent in the order
+ * of the grants.
+ */
 const newOrder = (state: AgentState, unit: AgentUnit): UpstreamOrder => ({unit: unit.unit, memoryBytes: unit.memoryBytes, fence: state.revision});
 
-/** A model is not unloaded from under an adapter that may be on it. */
+/** Returns true if an adapter that needs this model is or may be loaded; the model is then not unloaded. */
 const hasDependentUnit = (state: AgentState, unit: AgentUnit): boolean => [...state.units.values()]
 	.some(other => other.base === unit.unit && other.state !== UNIT_STATE.Reserved && other.state !== UNIT_STATE.Gone);
 
@@ -23,7 +26,10 @@
 	return [{kind: 'unload', order: newOrder(state, unit)}];
 };
 
-/** The one place that orders a load: only with a grant, a known inventory, and room for all that may be held. */
+/**
+ * Orders the load of a unit. This is the only place that does so, and it requires a grant, a known inventory of the engine, and memory for all units
+ * that are or may be loaded.
+ */
 const newLoad = (state: AgentState, unit: AgentUnit, now: number): AgentEffect[] => {
 	const isDue = unit.state === UNIT_STATE.Reserved && !unit.isRevoking && now >= unit.retryAt;
 	const hasRoom = getUsedBytes(state) + unit.memoryBytes <= (state.status?.memoryBytes ?? 0);
@@ -44,7 +50,7 @@
 	return [{kind: 'report'}];
 };
 
-/** The orders that the present state calls for. */
+/** Advances the units as far as the current state allows, and returns the orders and reports to send. */
 export const mutateDueOrders = (state: AgentState, now: number): AgentEffect[] => {
 	const effects: AgentEffect[] = [];
 	for (const unit of state.units.values()) {
--- a/packages/engine/src/mutate-lane.ts
+++ b/packages/engine/src/mutate-lane.ts
@@ -1,6 +1,6 @@
 import type {AgentState} from './agent-state.js';
 
-/** Notes how many requests an entry wants to send. */
+/** Records how many requests an entry wants to send. */
 export const mutateLane = (state: AgentState, entry: string, wanted: number): void => {
 	const lane = state.lanes.get(entry);
 	if (lane) {
--- a/packages/engine/src/mutate-orders.ts
+++ b/packages/engine/src/mutate-orders.ts
@@ -5,8 +5,8 @@
 import type {AgentState} from './agent-state.js';
 
 /**
- * A grant that an earlier process of this agent may have ordered counts as committed until the engine's
- * own report clears it.
+ * Adds a granted unit. A unit from the first orders after a start may already have been ordered by an earlier process of this agent, so its memory
+ * counts as used until the engine's status shows that the unit is not loaded.
  */
 const mutateAddedUnit = (state: AgentState, grant: AgentGrant, isFirst: boolean, now: number): void => {
 	state.units.set(grant.unit, {
@@ -40,7 +40,7 @@
 	}
 };
 
-/** Takes the leader's orders, unless they are older than what is known. */
+/** Applies the leader's orders, unless their revision is older than the newest one that the agent has applied. */
 export const mutateOrders = (state: AgentState, orders: AgentOrders, now: number): void => {
 	if (orders.revision < state.revision) {
 		return;
@@ -73,7 +73,7 @@
 	mutateRevokedUnits(state, now);
 };
 
-/** Moves units that are to be given up towards their unloading. */
+/** Drains the ready units whose grant is being revoked, and releases those that were never loaded. */
 const mutateRevokedUnits = (state: AgentState, now: number): void => {
 	for (const unit of state.units.values()) {
 		if (unit.isRevoking) {
--- a/packages/engine/src/mutate-status.ts
+++ b/packages/engine/src/mutate-status.ts
@@ -6,7 +6,7 @@
 import type {UpstreamStatus} from './upstream-status.js';
 import type {UpstreamUnit} from './upstream-unit.js';
 
-/** A unit that the engine holds without a grant is unloaded. */
+/** Adds a unit that the engine has loaded without a grant, as a unit to be unloaded. */
 const mutateFoundUnit = (state: AgentState, found: UpstreamUnit, now: number): AgentUnit => {
 	const unit: AgentUnit = {
 		unit: found.unit,
@@ -26,7 +26,7 @@
 	return unit;
 };
 
-/** A restarted engine has lost its units, but an order that was under way may have reached its new run. */
+/** Marks units as uncertain after a restart of the engine: it lost its loaded units, but an order in flight may have reached the new process. */
 const mutateUnitsAtRestart = (state: AgentState, now: number): void => {
 	for (const unit of state.units.values()) {
 		if (unit.state !== UNIT_STATE.Reserved && unit.state !== UNIT_STATE.Gone) {
@@ -54,7 +54,7 @@
 	mutateUnit(unit, 'absent', now);
 };
 
-/** Compares what is known with the engine's own inventory, which was asked for at `requestedAt`. */
+/** Updates the units from the engine's own inventory, which the agent requested at `requestedAt` (monotonic milliseconds). */
 export const mutateStatus = (state: AgentState, settings: AgentSettings, status: UpstreamStatus, requestedAt: number, now: number): void => {
 	if (state.status && state.status.incarnation !== status.incarnation) {
 		mutateUnitsAtRestart(state, now);
--- a/packages/engine/src/mutate-withdrawn.ts
+++ b/packages/engine/src/mutate-withdrawn.ts
@@ -2,8 +2,8 @@
 import type {AgentState} from './agent-state.js';
 
 /**
- * What became of an attempt whose answer was lost. If it was never accepted, its credit is withdrawn,
- * so that the word "not run" stays true when the dispatch arrives late.
+ * Returns the outcome of an attempt whose response was lost. If the agent has not accepted the attempt, its credit is withdrawn: a dispatch that
+ * arrives late is then refused, so that the outcome "not run" stays true.
  */
 export const mutateWithdrawn = (state: AgentState, attemptId: string, creditId: string): OutcomeValue => {
 	const attempt = state.attempts.get(attemptId);
--- a/packages/engine/src/new-agent-state.ts
+++ b/packages/engine/src/new-agent-state.ts
@@ -1,6 +1,6 @@
 import type {AgentState} from './agent-state.js';
 
-/** An agent that has heard nothing yet. */
+/** Returns the state of an agent that has received neither orders nor an engine status yet. */
 export const newAgentState = (): AgentState => ({
 	units: new Map(),
 	credits: new Map(),
--- a/packages/engine/src/order-result.ts
+++ b/packages/engine/src/order-result.ts
@@ -1,2 +1,2 @@
-/** How an order ended. `unknown` means that it may still take effect. */
+/** The result of a load or unload order. `unknown` means that the order may still take effect. */
 export type OrderResult = 'done' | 'refused' | 'unknown';
--- a/packages/engine/src/upstream-abilities.ts
+++ b/packages/engine/src/upstream-abilities.ts
@@ -1,6 +1,6 @@
-/** What an upstream can do beyond answering. */
+/** Optional features that an upstream supports. */
 export type UpstreamAbilities = {
-	/** Refuses orders with an old fencing number. */
+	/** True if the upstream refuses orders with an outdated fencing token. */
 	readonly checksFence: boolean;
 	readonly resumesStreams: boolean;
 	readonly honoursPriorities: boolean;
--- a/packages/engine/src/upstream-order.ts
+++ b/packages/engine/src/upstream-order.ts
@@ -1,7 +1,7 @@
-/** An order to an engine. */
+/** An order to an engine to load or unload a unit. */
 export type UpstreamOrder = {
 	readonly unit: string;
 	readonly memoryBytes: number;
-	/** Fencing number: the newest revision that the agent knows. */
+	/** Fencing token: the newest configuration revision that the agent has applied. */
 	readonly fence: number;
 };
--- a/packages/engine/src/upstream-request.ts
+++ b/packages/engine/src/upstream-request.ts
@@ -1,10 +1,10 @@
 import type {Buffer} from 'node:buffer';
 
-/** A request as it is sent to an upstream. */
+/** A caller's request in the form in which it is sent to an upstream. */
 export type UpstreamRequest = {
 	readonly requestId: string;
 	readonly attemptId: string;
-	/** Keeps prefix caches of teams apart. */
+	/** Sent as the salt of the prefix cache, so that teams do not share cached prefixes. */
 	readonly team: string;
 	readonly method: string;
 	readonly path: string;
--- a/packages/engine/src/upstream-response.ts
+++ b/packages/engine/src/upstream-response.ts
@@ -1,9 +1,9 @@
 import type {Buffer} from 'node:buffer';
 
-/** The beginning of an upstream's answer, and the stream of the rest. */
+/** The head of an upstream's response, and its body as a stream. */
 export type UpstreamResponse = {
 	readonly status: number;
 	readonly contentType: string;
-	/** Fails if the upstream's answer is not whole. */
+	/** Throws during iteration if the upstream's response is incomplete. */
 	readonly body: AsyncIterable<Buffer>;
 };
--- a/packages/engine/src/upstream-status.ts
+++ b/packages/engine/src/upstream-status.ts
@@ -1,17 +1,17 @@
 import type {UpstreamAbilities} from './upstream-abilities.js';
 import type {UpstreamUnit} from './upstream-unit.js';
 
-/** What an upstream announces of itself. */
+/** The status that an upstream reports about itself. */
 export type UpstreamStatus = {
-	/** New at each start of the upstream. */
+	/** Identifies one run of the upstream; it changes at each start. */
 	readonly incarnation: string;
 	readonly memoryBytes: number;
 	readonly units: readonly UpstreamUnit[];
-	/** Units whose checkpoints lie on its disk. */
+	/** Units whose checkpoints are on the upstream's local disk. */
 	readonly cached: readonly string[];
-	/** The service that it offers, empty for a model engine. */
+	/** The name of the service that the upstream offers; empty for a model engine. */
 	readonly service: string;
-	/** Requests that it can work on at once. */
+	/** Number of requests that the upstream can process concurrently. */
 	readonly capacity: number;
 	readonly isLeaving: boolean;
 	readonly abilities: UpstreamAbilities;
--- a/packages/engine/src/upstream-unit.ts
+++ b/packages/engine/src/upstream-unit.ts
@@ -1,4 +1,4 @@
-/** A unit in an engine's own inventory. */
+/** A unit that an engine reports as loading or ready. */
 export type UpstreamUnit = {
 	readonly unit: string;
 	readonly state: 'loading' | 'ready';
