--- a/packages/engine/src/mutate-credits.ts
+++ b/packages/engine/src/mutate-credits.ts
@@ -16,7 +16,7 @@
 
 const getTargetCredits = (wanted: number, settings: AgentSettings): number => wanted === 0 ? 0 : Math.max(wanted, settings.spareCredits);
 
-/** Returns true if an entry gets another credit. A refill starts once at most half of the target is left, so that not each request costs a message. */
+/** Returns true if an entry gets another credit. A refill starts once at most half of the target is left, to save messages. */
 const isRefillDue = (count: number, target: number, isBeingFilled: boolean): boolean => count < target && (isBeingFilled || count <= target / 2);
 
 /** Issues the unused capacity of the upstream to the entries as credits; the entry with the fewest credits is served first. */
--- a/packages/intent/src/action.ts
+++ b/packages/intent/src/action.ts
@@ -4,9 +4,9 @@
 type ActionShape<Command extends Schema.Top> = {
 	readonly name: string;
 	readonly schema: Command;
-	/** Changes the transaction, or throws a numbered error; the caller then undoes the transaction. */
+	/** Applies a command to the intent, or throws a ValeleadError; the caller then rolls the transaction back. */
 	readonly perform: (transaction: Transaction, command: Command['Type']) => void;
 };
 
-/** Ties the types of an action's schema and its perform together. */
+/** Returns an action as it is; the signature makes the compiler check that `perform` takes the commands of the action's schema. */
 export const newAction = <Command extends Schema.Top>(action: ActionShape<Command>): ActionShape<Command> => action;
--- a/packages/intent/src/actions.ts
+++ b/packages/intent/src/actions.ts
@@ -31,7 +31,7 @@
 import {stop} from './actions/stop.js';
 import {undrain} from './actions/undrain.js';
 
-/** Every action that changes the intent. */
+/** All actions. An action validates one kind of command and applies it to the intent. */
 export const ACTIONS = [
 	alterAdapter,
 	alterClass,
--- a/packages/intent/src/actions/alter-adapter.ts
+++ b/packages/intent/src/actions/alter-adapter.ts
@@ -15,7 +15,7 @@
 	teams: Schema.optionalKey(Schema.Array(NAME)),
 });
 
-/** Changes an adapter; fields left out stay as they are. */
+/** Changes an adapter. Fields that the command omits keep their values. */
 export const alterAdapter = newAction({
 	name: 'alterAdapter',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/alter-class.ts
+++ b/packages/intent/src/actions/alter-class.ts
@@ -14,7 +14,7 @@
 	maxWaiting: Schema.optionalKey(COUNT),
 });
 
-/** Changes a request class; fields left out stay as they are. */
+/** Changes a request class. Fields that the command omits keep their values. */
 export const alterClass = newAction({
 	name: 'alterClass',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/alter-model.ts
+++ b/packages/intent/src/actions/alter-model.ts
@@ -17,7 +17,7 @@
 	version: Schema.optionalKey(NAME),
 });
 
-/** Changes a model; fields left out stay as they are. */
+/** Changes a model. Fields that the command omits keep their values. */
 export const alterModel = newAction({
 	name: 'alterModel',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/alter-service.ts
+++ b/packages/intent/src/actions/alter-service.ts
@@ -13,7 +13,7 @@
 	isRepeatable: Schema.optionalKey(Schema.Boolean),
 });
 
-/** Changes the route of a plain service; fields left out stay as they are. */
+/** Changes the route of a plain service. Fields that the command omits keep their values. */
 export const alterService = newAction({
 	name: 'alterService',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/alter-team.ts
+++ b/packages/intent/src/actions/alter-team.ts
@@ -13,7 +13,7 @@
 	classes: Schema.optionalKey(Schema.Array(NAME)),
 });
 
-/** Changes a team; fields left out stay as they are. */
+/** Changes a team. Fields that the command omits keep their values. */
 export const alterTeam = newAction({
 	name: 'alterTeam',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-adapter.ts
+++ b/packages/intent/src/actions/create-adapter.ts
@@ -16,7 +16,7 @@
 	teams: Schema.optionalKey(Schema.Array(NAME)),
 });
 
-/** Creates an adapter, which is loaded beside a replica of its model. */
+/** Creates an adapter for a model. The replica limit and the teams default to those of the model. */
 export const createAdapter = newAction({
 	name: 'createAdapter',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-class.ts
+++ b/packages/intent/src/actions/create-class.ts
@@ -15,7 +15,7 @@
 	maxWaiting: Schema.optionalKey(COUNT),
 });
 
-/** Creates a request class. */
+/** Creates a request class; omitted fields get default values. */
 export const createClass = newAction({
 	name: 'createClass',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-key.ts
+++ b/packages/intent/src/actions/create-key.ts
@@ -12,7 +12,7 @@
 	hash: HASH,
 });
 
-/** Adds a key to a team. Only the hash of the key is stored. */
+/** Adds an API key to a team. Only the digest of the key is stored. */
 export const createKey = newAction({
 	name: 'createKey',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-model.ts
+++ b/packages/intent/src/actions/create-model.ts
@@ -17,7 +17,7 @@
 	version: Schema.optionalKey(NAME),
 });
 
-/** Creates a model. */
+/** Creates a model with one version; omitted fields get default values. */
 export const createModel = newAction({
 	name: 'createModel',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-operator.ts
+++ b/packages/intent/src/actions/create-operator.ts
@@ -11,7 +11,7 @@
 	canWrite: Schema.Boolean,
 });
 
-/** Adds an operator key. Only the hash of the key is stored. */
+/** Adds an operator with a key. Only the digest of the key is stored. */
 export const createOperator = newAction({
 	name: 'createOperator',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-service.ts
+++ b/packages/intent/src/actions/create-service.ts
@@ -15,7 +15,7 @@
 	isRepeatable: Schema.optionalKey(Schema.Boolean),
 });
 
-/** Creates the route of a plain service. */
+/** Creates the route of a plain service; omitted fields get default values. */
 export const createService = newAction({
 	name: 'createService',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-team.ts
+++ b/packages/intent/src/actions/create-team.ts
@@ -14,7 +14,7 @@
 	classes: Schema.optionalKey(Schema.Array(NAME)),
 });
 
-/** Creates a team. */
+/** Creates a team without keys; omitted fields get default values. */
 export const createTeam = newAction({
 	name: 'createTeam',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/create-version.ts
+++ b/packages/intent/src/actions/create-version.ts
@@ -11,7 +11,7 @@
 	name: NAME,
 });
 
-/** Adds a version to a model. It is served once the model is altered to it, or when it is named. */
+/** Adds a version to a model. The version serves requests that name it. Other requests reach it once `alterModel` makes it the served one. */
 export const createVersion = newAction({
 	name: 'createVersion',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drain.ts
+++ b/packages/intent/src/actions/drain.ts
@@ -10,7 +10,7 @@
 	name: NAME,
 });
 
-/** Drains a VM, a data centre or the VMs of a model: they get no new work. */
+/** Drains a VM, the upstream on a VM, or all VMs of a data centre: they get no new work, and their replicas are revoked. */
 export const drain = newAction({
 	name: 'drain',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-adapter.ts
+++ b/packages/intent/src/actions/drop-adapter.ts
@@ -11,7 +11,7 @@
 	name: NAME,
 });
 
-/** Drops an adapter. Its replicas are revoked by the placement. */
+/** Deletes an adapter. The placement then revokes the grants of its replicas. */
 export const dropAdapter = newAction({
 	name: 'dropAdapter',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-class.ts
+++ b/packages/intent/src/actions/drop-class.ts
@@ -10,7 +10,7 @@
 	name: NAME,
 });
 
-/** Drops a request class that nothing refers to. */
+/** Deletes a request class, provided that no model or service refers to it. */
 export const dropClass = newAction({
 	name: 'dropClass',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-key.ts
+++ b/packages/intent/src/actions/drop-key.ts
@@ -11,7 +11,7 @@
 	name: NAME,
 });
 
-/** Withdraws a key of a team. */
+/** Deletes an API key of a team. */
 export const dropKey = newAction({
 	name: 'dropKey',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-model.ts
+++ b/packages/intent/src/actions/drop-model.ts
@@ -10,7 +10,7 @@
 	name: NAME,
 });
 
-/** Drops a model without adapters. Its replicas are revoked by the placement. */
+/** Deletes a model, provided that it has no adapters. The placement then revokes the grants of its replicas. */
 export const dropModel = newAction({
 	name: 'dropModel',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-operator.ts
+++ b/packages/intent/src/actions/drop-operator.ts
@@ -9,7 +9,7 @@
 	name: NAME,
 });
 
-/** Withdraws an operator key. */
+/** Deletes an operator and the operator's key. */
 export const dropOperator = newAction({
 	name: 'dropOperator',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-service.ts
+++ b/packages/intent/src/actions/drop-service.ts
@@ -9,7 +9,7 @@
 	name: NAME,
 });
 
-/** Drops the route of a plain service. */
+/** Deletes the route of a plain service. */
 export const dropService = newAction({
 	name: 'dropService',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-team.ts
+++ b/packages/intent/src/actions/drop-team.ts
@@ -10,7 +10,7 @@
 	name: NAME,
 });
 
-/** Drops a team that nothing refers to. */
+/** Deletes a team, provided that no model, adapter or service refers to it. */
 export const dropTeam = newAction({
 	name: 'dropTeam',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/drop-version.ts
+++ b/packages/intent/src/actions/drop-version.ts
@@ -11,7 +11,7 @@
 	name: NAME,
 });
 
-/** Drops a version that is not the one served. */
+/** Deletes a version of a model, provided that it is not the served version. */
 export const dropVersion = newAction({
 	name: 'dropVersion',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/forget-vm.ts
+++ b/packages/intent/src/actions/forget-vm.ts
@@ -10,7 +10,7 @@
 	name: NAME,
 });
 
-/** Declares that a VM is gone for good: what was granted to it is free again. */
+/** Removes a VM that will not return, together with its grants. The replicas may then be granted to other VMs. */
 export const forgetVm = newAction({
 	name: 'forgetVm',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/grant.ts
+++ b/packages/intent/src/actions/grant.ts
@@ -13,7 +13,7 @@
 	vm: NAME,
 });
 
-/** Decides that a VM holds a replica. This is the only place where the limits of replicas and memory are given out. */
+/** Grants a replica of a unit to a VM. This is the only place that creates grants, so that replica limits and memory are never exceeded. */
 export const grant = newAction({
 	name: 'grant',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/quarantine-request.ts
+++ b/packages/intent/src/actions/quarantine-request.ts
@@ -4,7 +4,10 @@
 import {newAction} from '../action.js';
 import {putRecord} from '../put-record.js';
 
-/** Requests that are quarantined at once; the one judged first makes way, as the least likely to come again. Some 50 KiB of a snapshot. */
+/**
+ * Maximum number of quarantined requests, about 50 KiB of a snapshot. Beyond it, the oldest quarantine is removed, as its request is the least likely
+ * to be sent again.
+ */
 const MAX_QUARANTINES = 512;
 
 const SCHEMA = Schema.Struct({
@@ -14,7 +17,7 @@
 	judgedAt: Schema.Finite,
 });
 
-/** Keeps a request from all upstreams. Given by the leader alone. */
+/** Quarantines a request, so that it is not sent to any upstream. Only the leader issues this command. */
 export const quarantineRequest = newAction({
 	name: 'quarantineRequest',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/register-vm.ts
+++ b/packages/intent/src/actions/register-vm.ts
@@ -17,8 +17,8 @@
 });
 
 /**
- * Records the agent that holds a VM. Grants stay: an order may have reached the new run of an upstream,
- * so only what the agent finds there is proof.
+ * Registers a VM and the agent that manages it. The VM's grants stay even if its upstream has restarted: an order may have reached the new process,
+ * so only the status that the agent reads from it shows what is loaded.
  */
 export const registerVm = newAction({
 	name: 'registerVm',
--- a/packages/intent/src/actions/release-request.ts
+++ b/packages/intent/src/actions/release-request.ts
@@ -9,7 +9,7 @@
 	name: NAME,
 });
 
-/** Lets a quarantined request through to upstreams again. */
+/** Lifts the quarantine of a request, so that the request is sent to upstreams again. */
 export const releaseRequest = newAction({
 	name: 'releaseRequest',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/release.ts
+++ b/packages/intent/src/actions/release.ts
@@ -12,7 +12,7 @@
 	grantIds: Schema.Array(Schema.String),
 });
 
-/** Frees replicas that their agent has proved unloaded. Unknown grants were released before. */
+/** Deletes grants after their agent has confirmed that the units are unloaded. Unknown grants are ignored, as they were released before. */
 export const release = newAction({
 	name: 'release',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/revoke.ts
+++ b/packages/intent/src/actions/revoke.ts
@@ -8,7 +8,7 @@
 	grantId: Schema.String,
 });
 
-/** Decides that a VM gives up a replica. The replica counts until it is released. */
+/** Revokes a grant, so that the VM unloads the replica. The replica counts against the limits until the grant is released. */
 export const revoke = newAction({
 	name: 'revoke',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/start.ts
+++ b/packages/intent/src/actions/start.ts
@@ -9,7 +9,7 @@
 	name: NAME,
 });
 
-/** Lets a stopped team, model or service serve again. */
+/** Starts a stopped team, model or service again, so that new requests are accepted. */
 export const start = newAction({
 	name: 'start',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/stop.ts
+++ b/packages/intent/src/actions/stop.ts
@@ -9,7 +9,7 @@
 	name: NAME,
 });
 
-/** Stops a team, model or service: its new requests are refused. */
+/** Stops a team, model or service, so that new requests for it are refused. */
 export const stop = newAction({
 	name: 'stop',
 	schema: SCHEMA,
--- a/packages/intent/src/actions/undrain.ts
+++ b/packages/intent/src/actions/undrain.ts
@@ -11,7 +11,7 @@
 	name: NAME,
 });
 
-/** Undoes a drain. */
+/** Ends the drain of a VM, the upstream on a VM, or a data centre. */
 export const undrain = newAction({
 	name: 'undrain',
 	schema: SCHEMA,
--- a/packages/intent/src/adapter.ts
+++ b/packages/intent/src/adapter.ts
@@ -1,4 +1,4 @@
-/** A small set of weights that is loaded beside a replica of its model. */
+/** A small set of additional weights for a model, which an engine loads next to a replica of the model. */
 export type Adapter = {
 	readonly name: string;
 	readonly model: string;
--- a/packages/intent/src/claim-answer.ts
+++ b/packages/intent/src/claim-answer.ts
@@ -1,10 +1,10 @@
 import type {OutcomeValue} from '@valelead/common';
 
-/** How a claimed request ended. */
+/** The outcome and the HTTP response of a claimed request, stored to be returned for repeated requests. */
 export type ClaimAnswer = {
 	readonly outcome: OutcomeValue;
 	readonly status: number;
 	readonly contentType: string;
-	/** Base64; undefined where the answer was too large to keep. */
+	/** The body in Base64; undefined if the body was too large to store. */
 	readonly body?: string;
 };
--- a/packages/intent/src/claim.ts
+++ b/packages/intent/src/claim.ts
@@ -1,14 +1,14 @@
 import type {ClaimAnswer} from './claim-answer.js';
 
-/** The right to run a request that must not run twice, and its answer once it is known. */
+/** The exclusive right to run a request that must not run twice, and the response of the request once it is known. */
 export type Claim = {
 	readonly team: string;
 	readonly key: string;
-	/** SHA-256 over route and body, so that a key is not reused for another request. */
+	/** SHA-256 over route and body, to detect that a key is reused for a different request. */
 	readonly requestHash: string;
-	/** Leader's wall time in milliseconds at which the request's time has run out. */
+	/** Deadline of the request by the leader's wall clock, in Unix milliseconds. */
 	readonly deadlineAt: number;
-	/** The attempt that holds the claim; only it may settle. */
+	/** The id of the attempt that holds the claim. Only this attempt may settle the claim. */
 	readonly owner: string;
 	readonly answer: ClaimAnswer | undefined;
 };
--- a/packages/intent/src/claims.ts
+++ b/packages/intent/src/claims.ts
@@ -1,4 +1,4 @@
 import type {Claim} from './claim.js';
 
-/** All claims by team and key, oldest first. */
+/** All claims, by the key that `getClaimKey` makes from team and idempotency key; oldest first. */
 export type Claims = Map<string, Claim>;
--- a/packages/intent/src/command-result.ts
+++ b/packages/intent/src/command-result.ts
@@ -1,9 +1,9 @@
 import type {ResultCodeValue} from '@valelead/common';
 
-/** What became of a proposal. */
+/** The result of a proposal. */
 export type CommandResult = {
 	readonly code: ResultCodeValue;
 	readonly message: string;
-	/** The revision that the proposal made, or the one it was refused at. */
+	/** The revision that the proposal created, or the current revision if the proposal was refused. */
 	readonly revision: number;
 };
--- a/packages/intent/src/command-schema.ts
+++ b/packages/intent/src/command-schema.ts
@@ -32,7 +32,7 @@
 import {stop} from './actions/stop.js';
 import {undrain} from './actions/undrain.js';
 
-/** A command that changes the intent. */
+/** The schema of all commands that change the intent. */
 export const COMMAND_SCHEMA = Schema.Union([
 	alterAdapter.schema,
 	alterClass.schema,
--- a/packages/intent/src/decode-commands.ts
+++ b/packages/intent/src/decode-commands.ts
@@ -5,7 +5,7 @@
 
 const decode = Schema.decodeUnknownSync(Schema.Array(COMMAND_SCHEMA));
 
-/** Commands from JSON, checked; throws a numbered error that names the faults. */
+/** Parses and validates commands from JSON. Throws a ValeleadError whose message lists the faults. */
 export const decodeCommands = (text: string): readonly Command[] => {
 	try {
 		return decode(JSON.parse(text), {errors: 'all', onExcessProperty: 'error'});
--- a/packages/intent/src/decode-intent.ts
+++ b/packages/intent/src/decode-intent.ts
@@ -1,7 +1,7 @@
 import {newIntent} from './new-intent.js';
 import type {Intent} from './intent.js';
 
-/** The intent from its JSON. Tables that an older version did not write stay empty. */
+/** Decodes the intent from JSON. Tables that an older software version did not write get their initial content. */
 export const decodeIntent = (text: string): Intent => {
 	const plain = JSON.parse(text) as Record<string, unknown>;
 	const intent = newIntent();
--- a/packages/intent/src/delete-grant.ts
+++ b/packages/intent/src/delete-grant.ts
@@ -12,7 +12,7 @@
 	putRecord(transaction, index, key, remainingIds);
 };
 
-/** Removes a grant from the table and its indexes. */
+/** Removes a grant from the grant table and its indexes. */
 export const deleteGrant = (transaction: Transaction, grantId: string): void => {
 	const grant = transaction.intent.grants.get(grantId);
 	if (!grant) {
--- a/packages/intent/src/delete-record.ts
+++ b/packages/intent/src/delete-record.ts
@@ -1,6 +1,6 @@
 import type {Transaction} from './transaction.js';
 
-/** Deletes a record and notes how to undo it. */
+/** Deletes a record and adds the inverse step to the transaction's undo log. */
 export const deleteRecord = <Value>(transaction: Transaction, records: Map<string, Value>, key: string): void => {
 	const previous = records.get(key);
 	if (previous === undefined) {
--- a/packages/intent/src/encode-intent.ts
+++ b/packages/intent/src/encode-intent.ts
@@ -1,4 +1,4 @@
 import type {Intent} from './intent.js';
 
-/** The intent as JSON. */
+/** Encodes the intent as JSON; each map becomes an array of its entries. */
 export const encodeIntent = (intent: Intent): string => JSON.stringify(intent, (_key, value: unknown) => value instanceof Map ? [...value] : value);
--- a/packages/intent/src/field-schemas.ts
+++ b/packages/intent/src/field-schemas.ts
@@ -3,7 +3,7 @@
 const MAX_DURATION_MS = 86_400_000;
 const MAX_COUNT = 1_000_000;
 
-/** Checked fields that commands share. */
+/** Schemas of fields that several commands have. */
 const NAME = Schema.String.check(Schema.isPattern(/^[a-z\d][\w.\-]{0,62}$/v));
 const WEIGHT = Schema.Finite.check(Schema.isBetween({minimum: 0.001, maximum: 1000}));
 const COUNT = Schema.Int.check(Schema.isBetween({minimum: 0, maximum: MAX_COUNT}));
--- a/packages/intent/src/get-committed-bytes.ts
+++ b/packages/intent/src/get-committed-bytes.ts
@@ -1,6 +1,6 @@
 import type {Intent} from './intent.js';
 
-/** Memory of a VM that grants commit, in bytes. */
+/** Returns the memory of a VM that its grants reserve, in bytes. */
 export const getCommittedBytes = (intent: Intent, vm: string): number => {
 	let bytes = 0;
 	for (const grantId of intent.grantsByVm.get(vm) ?? []) {
--- a/packages/intent/src/get-unit.ts
+++ b/packages/intent/src/get-unit.ts
@@ -4,7 +4,7 @@
 
 const KEY_PATTERN = /^(?<model>[^@:]+)@(?<version>[^@:]+)(?::(?<adapter>[^@:]+))?$/v;
 
-/** The unit of a key such as `model@version` or `model@version:adapter`, or undefined if none is declared. */
+/** Returns the unit with a key such as `model@version` or `model@version:adapter`, or undefined if no such unit is declared. */
 export const getUnit = (intent: Intent, key: string): Unit | undefined => {
 	const groups = KEY_PATTERN.exec(key)?.groups;
 	const model = intent.models.get(groups?.model ?? '');
--- a/packages/intent/src/grant.ts
+++ b/packages/intent/src/grant.ts
@@ -1,12 +1,12 @@
-/** The decision that a VM holds a replica of a unit. It counts until it is released on proof. */
+/** The permission for a VM to keep a replica of a unit loaded. Its memory stays reserved until the agent has confirmed that the unit is unloaded. */
 export type Grant = {
 	readonly id: string;
 	readonly unit: string;
-	/** The model or adapter whose limit the grant counts against. */
+	/** The model or adapter whose replica limit the grant counts against. */
 	readonly owner: string;
 	readonly vm: string;
 	readonly memoryBytes: number;
-	/** Fencing number: the revision of the decision. */
+	/** Fencing token: the revision that created the grant. */
 	readonly fence: number;
 	readonly isRevoking: boolean;
 };
--- a/packages/intent/src/intent.ts
+++ b/packages/intent/src/intent.ts
@@ -9,7 +9,7 @@
 import type {Team} from './team.js';
 import type {Vm} from './vm.js';
 
-/** The replicated configuration. Only proposals change it; records are replaced, never altered. */
+/** The replicated configuration of the installation. Only proposals change it, and records are replaced instead of mutated. */
 export type Intent = {
 	revision: number;
 	readonly teams: Map<string, Team>;
@@ -19,12 +19,12 @@
 	readonly services: Map<string, ServiceRoute>;
 	readonly operators: Map<string, Operator>;
 	readonly vms: Map<string, Vm>;
-	/** By fingerprint, in the order of their judgement. */
+	/** Quarantined requests by their fingerprint, in the order of the quarantine decisions. */
 	readonly quarantines: Map<string, Quarantine>;
 	readonly drainedDataCentres: Map<string, string>;
 	readonly grants: Map<string, Grant>;
 	readonly grantsByVm: Map<string, readonly string[]>;
 	readonly grantsByOwner: Map<string, readonly string[]>;
-	/** Results by command id, oldest first. */
+	/** Results of proposals by their command id, oldest first, to answer resent proposals. */
 	readonly results: Map<string, CommandResult>;
 };
--- a/packages/intent/src/mutate-claims.ts
+++ b/packages/intent/src/mutate-claims.ts
@@ -4,7 +4,7 @@
 import type {ClaimResult} from './claim-result.js';
 import type {Claims} from './claims.js';
 
-/** How long a claim is kept after its request's time ran out: a resend within this time never runs again. */
+/** How long a claim is kept after the deadline of its request. A request that is resent within this time is never run again. */
 const CLAIM_RETENTION_MS = 86_400_000;
 
 const mutateExpiredClaims = (claims: Claims, at: number): void => {
@@ -60,7 +60,10 @@
 	return {kind: 'settled', claim: settled};
 };
 
-/** Applies a claim command at the leader's wall time, in milliseconds. */
+/**
+ * Removes expired claims and applies a claim command.
+ * @param at - The leader's wall-clock time, in Unix milliseconds.
+ */
 export const mutateClaims = (claims: Claims, at: number, command: ClaimCommand): ClaimResult => {
 	mutateExpiredClaims(claims, at);
 	return command.kind === 'claim' ? mutateClaimed(claims, at, command) : mutateSettledClaim(claims, command);
--- a/packages/intent/src/mutate-intent.ts
+++ b/packages/intent/src/mutate-intent.ts
@@ -6,7 +6,7 @@
 import type {Intent} from './intent.js';
 import type {Proposal} from './proposal.js';
 
-/** Results that are kept for resent commands; the oldest is dropped first. */
+/** Number of results kept to answer resent proposals; the oldest result is dropped first. */
 const MAX_RESULTS = 10_000;
 
 type CommandHandler = (transaction: Transaction, command: Command) => void;
@@ -50,8 +50,8 @@
 };
 
 /**
- * Applies a proposal: all of its commands or none. The same proposal has the same result on every
- * process, and a proposal that was applied before returns its first result.
+ * Applies all commands of a proposal or none of them. The function is deterministic, so that all replicas of the intent stay equal. For a proposal
+ * that was applied before, it returns the first result.
  */
 export const mutateIntent = (intent: Intent, proposal: Proposal): CommandResult => {
 	const first = intent.results.get(proposal.commandId);
--- a/packages/intent/src/mutate-stopped.ts
+++ b/packages/intent/src/mutate-stopped.ts
@@ -3,7 +3,7 @@
 import {requirePresent} from './require-present.js';
 import type {Transaction} from './transaction.js';
 
-/** Stops or starts a team, model or service. */
+/** Sets whether a team, model or service is stopped. Throws a ValeleadError if the target does not exist. */
 export const mutateStopped = (transaction: Transaction, target: 'team' | 'model' | 'service', name: string, isStopped: boolean): void => {
 	switch (target) {
 		case 'team': {
--- a/packages/intent/src/new-intent.ts
+++ b/packages/intent/src/new-intent.ts
@@ -1,7 +1,7 @@
 import {newRequestClass} from './new-request-class.js';
 import type {Intent} from './intent.js';
 
-/** The configuration before any command. */
+/** Returns the configuration of a new installation. It contains only the request class `default`. */
 export const newIntent = (): Intent => ({
 	revision: 0,
 	teams: new Map(),
--- a/packages/intent/src/new-model.ts
+++ b/packages/intent/src/new-model.ts
@@ -1,6 +1,6 @@
 import type {Model} from './model.js';
 
-/** A model with the default limits. */
+/** Returns a model with the default limits. */
 export const newModel = (name: string, memoryBytes: number): Model => ({
 	name,
 	memoryBytes,
--- a/packages/intent/src/new-request-class.ts
+++ b/packages/intent/src/new-request-class.ts
@@ -1,6 +1,6 @@
 import type {RequestClass} from './request-class.js';
 
-/** A class with the default time and limits. */
+/** Returns a request class with the default deadline and limits. */
 export const newRequestClass = (name: string): RequestClass => ({
 	name,
 	deadlineMs: 30_000,
--- a/packages/intent/src/new-service-route.ts
+++ b/packages/intent/src/new-service-route.ts
@@ -1,6 +1,6 @@
 import type {ServiceRoute} from './service-route.js';
 
-/** A route whose calls may not be repeated, which is the safe default. */
+/** Returns the route of a service whose requests must not run more than once, which is the safe default. */
 export const newServiceRoute = (name: string): ServiceRoute => ({
 	name,
 	class: 'default',
--- a/packages/intent/src/new-team.ts
+++ b/packages/intent/src/new-team.ts
@@ -1,6 +1,6 @@
 import type {Team} from './team.js';
 
-/** A team with the default limits. */
+/** Returns a team with the default limits. */
 export const newTeam = (name: string): Team => ({
 	name,
 	weight: 1,
--- a/packages/intent/src/operator.ts
+++ b/packages/intent/src/operator.ts
@@ -1,7 +1,7 @@
-/** Someone who may use the operator language. */
+/** An operator, who authenticates with a key and may use the operator language. */
 export type Operator = {
 	readonly name: string;
-	/** SHA-256 of the key in hexadecimal. */
+	/** SHA-256 digest of the operator's key in hexadecimal. */
 	readonly hash: string;
 	readonly canWrite: boolean;
 };
--- a/packages/intent/src/proposal.ts
+++ b/packages/intent/src/proposal.ts
@@ -1,10 +1,10 @@
 import type {Command} from './command.js';
 
-/** Commands that take effect together or not at all. */
+/** A list of commands that take effect together or not at all. */
 export type Proposal = {
-	/** Made by the sender; a resent proposal gets the first result. Empty where none is kept. */
+	/** Id chosen by the sender. A resent proposal with the same id gets the first result; with an empty id no result is kept. */
 	readonly commandId: string;
-	/** The revision that the sender decided on; undefined where any will do. */
+	/** The revision on which the sender based the proposal; undefined if the proposal applies to any revision. */
 	readonly expectedRevision?: number;
 	readonly commands: readonly Command[];
 };
--- a/packages/intent/src/put-grant.ts
+++ b/packages/intent/src/put-grant.ts
@@ -2,7 +2,7 @@
 import type {Transaction} from './transaction.js';
 import type {Grant} from './grant.js';
 
-/** Adds a grant to the table and its indexes. */
+/** Adds a grant to the grant table and its indexes. */
 export const putGrant = (transaction: Transaction, grant: Grant): void => {
 	const {grants, grantsByVm, grantsByOwner} = transaction.intent;
 	putRecord(transaction, grants, grant.id, grant);
--- a/packages/intent/src/put-record.ts
+++ b/packages/intent/src/put-record.ts
@@ -1,6 +1,6 @@
 import type {Transaction} from './transaction.js';
 
-/** Sets a record and notes how to undo it. */
+/** Adds or replaces a record and adds the inverse step to the transaction's undo log. */
 export const putRecord = <Value>(transaction: Transaction, records: Map<string, Value>, key: string, value: Value): void => {
 	const previous = records.get(key);
 	transaction.undo.push(() => {
--- a/packages/intent/src/quarantine.ts
+++ b/packages/intent/src/quarantine.ts
@@ -1,9 +1,9 @@
-/** A request that no upstream may run, as upstreams crashed under it. */
+/** A request that is not sent to any upstream because upstreams crashed while they ran it. */
 export type Quarantine = {
-	/** Names the request; nothing of it can be read from this. */
+	/** Identifies the request without revealing its content. */
 	readonly fingerprint: string;
-	/** The runs that crashed under it, as far as they are known. */
+	/** The known upstream runs that crashed while they ran the request. */
 	readonly upstreams: readonly string[];
-	/** When it was judged, by the leader's wall clock, in Unix milliseconds; for operators to read only. */
+	/** Time of the quarantine decision by the leader's wall clock, in Unix milliseconds. It only informs operators. */
 	readonly judgedAt: number;
 };
--- a/packages/intent/src/request-class.ts
+++ b/packages/intent/src/request-class.ts
@@ -1,7 +1,7 @@
-/** How long requests may take and what their waiting costs. */
+/** A class of requests with a common deadline, scheduling weight and queue limit. */
 export type RequestClass = {
 	readonly name: string;
-	/** Time from arrival to the end of the answer's first part, in milliseconds. */
+	/** Time from the arrival of a request until the first chunk of its response must have been received completely, in milliseconds. */
 	readonly deadlineMs: number;
 	readonly weight: number;
 	readonly maxWaiting: number;
--- a/packages/intent/src/require-capacity.ts
+++ b/packages/intent/src/require-capacity.ts
@@ -10,7 +10,10 @@
 	}
 };
 
-/** Throws if a grant would exceed the replicas of the unit's owner or the memory of the VM. */
+/**
+ * Throws a ValeleadError if a VM cannot be granted a replica of a unit: the replica limit is reached, the VM lacks memory or already has the unit, or
+ * the model that an adapter needs is not granted to the VM.
+ */
 export const requireCapacity = (intent: Intent, unit: Unit, vm: Vm): void => {
 	const grantIds = intent.grantsByOwner.get(unit.owner) ?? [];
 	requireThat(grantIds.length < unit.maxReplicas, `${unit.owner} has its ${unit.maxReplicas} replicas`);
--- a/packages/intent/src/require-model-references.ts
+++ b/packages/intent/src/require-model-references.ts
@@ -4,7 +4,7 @@
 import type {Intent} from './intent.js';
 import type {Model} from './model.js';
 
-/** Throws if the class or a team of a model does not exist, or its replica limits contradict each other. */
+/** Throws a ValeleadError if the class or a team of a model does not exist, or if its minimum of replicas exceeds its maximum. */
 export const requireModelReferences = (intent: Intent, model: Model): void => {
 	requirePresent(intent.classes, model.class, 'class');
 	requireTeams(intent, model.teams);
--- a/packages/intent/src/require-present.ts
+++ b/packages/intent/src/require-present.ts
@@ -1,6 +1,6 @@
 import {RESULT_CODE, ValeleadError} from '@valelead/common';
 
-/** The record of this name; throws if there is none. */
+/** Returns the record with the given name, or throws a ValeleadError if the record does not exist. */
 export const requirePresent = <Value>(records: ReadonlyMap<string, Value>, name: string, kind: string): Value => {
 	const value = records.get(name);
 	if (value === undefined) {
--- a/packages/intent/src/require-teams.ts
+++ b/packages/intent/src/require-teams.ts
@@ -1,7 +1,7 @@
 import {requirePresent} from './require-present.js';
 import type {Intent} from './intent.js';
 
-/** Throws if one of the teams does not exist. */
+/** Throws a ValeleadError if one of the teams does not exist. */
 export const requireTeams = (intent: Intent, teams: readonly string[]): void => {
 	for (const team of teams) {
 		requirePresent(intent.teams, team, 'team');
--- a/packages/intent/src/require-unused.ts
+++ b/packages/intent/src/require-unused.ts
@@ -1,6 +1,6 @@
 import {RESULT_CODE, ValeleadError} from '@valelead/common';
 
-/** Throws if one of the users refers to the named object. */
+/** Throws a ValeleadError if one of the given objects still refers to the named object. */
 export const requireUnused = <User extends {readonly name: string}>(users: readonly User[], isUser: (user: User) => boolean, name: string): void => {
 	const user = users.find(candidate => isUser(candidate));
 	if (user) {
--- a/packages/intent/src/routing-replacement.ts
+++ b/packages/intent/src/routing-replacement.ts
@@ -1,9 +1,9 @@
-/** Replaces the routing as a whole. A version that is not above the one in force changes nothing. */
+/** A log record that replaces the whole routing configuration. It is ignored unless its version is above the current one. */
 export type RoutingReplacement = {
 	readonly kind: 'routing';
-	/** The leader's wall time in milliseconds. */
+	/** The leader's wall-clock time in Unix milliseconds. */
 	readonly at: number;
 	readonly version: number;
-	/** The configuration as its operator sent it. */
+	/** The routing configuration as the operator submitted it. */
 	readonly document: string;
 };
--- a/packages/intent/src/team.ts
+++ b/packages/intent/src/team.ts
@@ -1,12 +1,12 @@
-/** Callers that share keys, limits and a share of the service. */
+/** A team: callers that share API keys, limits and a scheduling weight. */
 export type Team = {
 	readonly name: string;
-	/** Share of the service under contention, relative to other teams. */
+	/** Relative share of the capacity that the team gets when several teams compete for it. */
 	readonly weight: number;
 	readonly maxInProgress: number;
 	readonly maxWaiting: number;
-	/** Classes that a request may choose by header; the class of the model is always allowed. */
+	/** Request classes that the team's callers may choose by a header. The class of the model is always allowed. */
 	readonly classes: readonly string[];
-	readonly keys: ReadonlyArray<{readonly name: string; /** SHA-256 in hexadecimal. */ readonly hash: string}>;
+	readonly keys: ReadonlyArray<{readonly name: string; /** SHA-256 digest of the key in hexadecimal. */ readonly hash: string}>;
 	readonly isStopped: boolean;
 };
--- a/packages/intent/src/unit.ts
+++ b/packages/intent/src/unit.ts
@@ -1,13 +1,13 @@
-/** Something that an engine loads: a version of a model, or an adapter on it. */
+/** A unit that an engine loads: a version of a model, or an adapter for this version. */
 export type Unit = {
 	readonly key: string;
-	/** The model or adapter whose limit its replicas count against. */
+	/** The model or adapter whose replica limit the replicas of the unit count against. */
 	readonly owner: string;
 	readonly model: string;
 	readonly version: string;
-	/** Empty for the model itself. */
+	/** The name of the adapter; empty if the unit is a model version. */
 	readonly adapter: string;
-	/** The unit that must be on the same VM first; empty for the model itself. */
+	/** The unit that must be loaded on the same VM first; empty if the unit is a model version. */
 	readonly base: string;
 	readonly memoryBytes: number;
 	readonly maxReplicas: number;
--- a/packages/intent/src/vm.ts
+++ b/packages/intent/src/vm.ts
@@ -1,15 +1,15 @@
-/** A VM with an upstream, as its agent registered it. */
+/** A VM that runs an upstream, as the agent on the VM registered it. */
 export type Vm = {
 	readonly name: string;
 	readonly dataCentre: string;
-	/** Where entries reach the agent. */
+	/** The address at which entries connect to the agent. */
 	readonly address: string;
-	/** New at each start of the agent: start time in milliseconds, a dash, a random part. */
+	/** Identifies one run of the agent: its start time in Unix milliseconds, a dash, and a random part. */
 	readonly incarnation: string;
-	/** New at each start of the upstream. */
+	/** Identifies one run of the upstream; it changes at each start. */
 	readonly upstreamIncarnation: string;
 	readonly memoryBytes: number;
-	/** The name of the service, empty for a model engine. */
+	/** The name of the service that the upstream offers; empty for a model engine. */
 	readonly service: string;
 	readonly isDrained: boolean;
 };
