--- a/packages/engine/src/mutate-agent.ts
+++ b/packages/engine/src/mutate-agent.ts
@@ -6,7 +6,7 @@
 import {mutateOrders} from './mutate-orders.js';
 import {mutateStatus} from './mutate-status.js';
 import {mutateUnit} from './mutate-unit.js';
-import {newOrdersDue} from './new-orders-due.js';
+import {mutateDueOrders} from './mutate-due-orders.js';
 import type {AgentEffect} from './agent-effect.js';
 import type {AgentEvent} from './agent-event.js';
 import type {AgentSettings} from './agent-settings.js';
@@ -36,8 +36,11 @@
 	return [];
 };
 
-/** Without word from the leader for a lease, the replicas are given up; their grants stay until it hears so. */
-const mutateLease = (state: AgentState, settings: AgentSettings, now: number): void => {
+/**
+ * Starts to unload all units once the agent has had no contact with the leader for the replica lease. The grants stay until the leader learns that
+ * the units are unloaded.
+ */
+const mutateUnitsAtLeaseEnd = (state: AgentState, settings: AgentSettings, now: number): void => {
 	if (now - state.confirmedAt <= settings.replicaLeaseMs || state.confirmedAt === Number.NEGATIVE_INFINITY) {
 		return;
 	}
@@ -110,7 +113,7 @@
 		}
 
 		case 'tick': {
-			mutateLease(state, settings, now);
+			mutateUnitsAtLeaseEnd(state, settings, now);
 			return [];
 		}
 
@@ -120,8 +123,11 @@
 	}
 };
 
-/** Advances an agent by one event at its monotonic time in milliseconds, and returns what must be done. */
+/**
+ * Applies one event to the state of an agent and returns the actions to carry out.
+ * @param now - The agent's monotonic time in milliseconds.
+ */
 export const mutateAgent = (state: AgentState, settings: AgentSettings, event: AgentEvent, now: number): AgentEffect[] => {
 	const effects = mutateEvent(state, settings, event, now);
-	return [...effects, ...newOrdersDue(state, now), ...mutateCredits(state, settings, now)];
+	return [...effects, ...mutateDueOrders(state, now), ...mutateCredits(state, settings, now)];
 };
--- a/packages/intent/src/actions/alter-class.ts
+++ b/packages/intent/src/actions/alter-class.ts
@@ -14,13 +14,13 @@
 	maxWaiting: Schema.optionalKey(COUNT),
 });
 
-/** Changes a request class; fields left out stay as they are. */
+/** Changes a request class. Fields that the command omits keep their values. */
 export const alterClass = newAction({
 	name: 'alterClass',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const requestClass = requirePresent(draft.intent.classes, command.name, 'class');
-		putRecord(draft, draft.intent.classes, command.name, {...requestClass, ...fields});
+		const requestClass = requirePresent(transaction.intent.classes, command.name, 'class');
+		putRecord(transaction, transaction.intent.classes, command.name, {...requestClass, ...fields});
 	},
 });
--- a/packages/intent/src/actions/alter-service.ts
+++ b/packages/intent/src/actions/alter-service.ts
@@ -13,15 +13,15 @@
 	isRepeatable: Schema.optionalKey(Schema.Boolean),
 });
 
-/** Changes the route of a plain service; fields left out stay as they are. */
+/** Changes the route of a plain service. Fields that the command omits keep their values. */
 export const alterService = newAction({
 	name: 'alterService',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const service = {...requirePresent(draft.intent.services, command.name, 'service'), ...fields};
-		requirePresent(draft.intent.classes, service.class, 'class');
-		requireTeams(draft.intent, service.teams);
-		putRecord(draft, draft.intent.services, command.name, service);
+		const service = {...requirePresent(transaction.intent.services, command.name, 'service'), ...fields};
+		requirePresent(transaction.intent.classes, service.class, 'class');
+		requireTeams(transaction.intent, service.teams);
+		putRecord(transaction, transaction.intent.services, command.name, service);
 	},
 });
--- a/packages/intent/src/actions/alter-team.ts
+++ b/packages/intent/src/actions/alter-team.ts
@@ -13,13 +13,13 @@
 	classes: Schema.optionalKey(Schema.Array(NAME)),
 });
 
-/** Changes a team; fields left out stay as they are. */
+/** Changes a team. Fields that the command omits keep their values. */
 export const alterTeam = newAction({
 	name: 'alterTeam',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const team = requirePresent(draft.intent.teams, command.name, 'team');
-		putRecord(draft, draft.intent.teams, command.name, {...team, ...fields});
+		const team = requirePresent(transaction.intent.teams, command.name, 'team');
+		putRecord(transaction, transaction.intent.teams, command.name, {...team, ...fields});
 	},
 });
--- a/packages/intent/src/actions/create-class.ts
+++ b/packages/intent/src/actions/create-class.ts
@@ -15,13 +15,13 @@
 	maxWaiting: Schema.optionalKey(COUNT),
 });
 
-/** Creates a request class. */
+/** Creates a request class; omitted fields get default values. */
 export const createClass = newAction({
 	name: 'createClass',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.classes, command.name, 'class');
-		putRecord(draft, draft.intent.classes, command.name, {...newRequestClass(command.name), ...fields});
+		requireAbsent(transaction.intent.classes, command.name, 'class');
+		putRecord(transaction, transaction.intent.classes, command.name, {...newRequestClass(command.name), ...fields});
 	},
 });
--- a/packages/intent/src/actions/create-key.ts
+++ b/packages/intent/src/actions/create-key.ts
@@ -12,17 +12,17 @@
 	hash: HASH,
 });
 
-/** Adds a key to a team. Only the hash of the key is stored. */
+/** Adds an API key to a team. Only the digest of the key is stored. */
 export const createKey = newAction({
 	name: 'createKey',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const team = requirePresent(draft.intent.teams, command.team, 'team');
+	perform(transaction, command) {
+		const team = requirePresent(transaction.intent.teams, command.team, 'team');
 		if (team.keys.some(key => key.name === command.name)) {
 			throw new ValeleadError(`key ${command.name} of team ${command.team} exists`, {code: RESULT_CODE.AlreadyExists});
 		}
 
 		const keys = [...team.keys, {name: command.name, hash: command.hash}];
-		putRecord(draft, draft.intent.teams, command.team, {...team, keys});
+		putRecord(transaction, transaction.intent.teams, command.team, {...team, keys});
 	},
 });
--- a/packages/intent/src/actions/create-operator.ts
+++ b/packages/intent/src/actions/create-operator.ts
@@ -11,13 +11,13 @@
 	canWrite: Schema.Boolean,
 });
 
-/** Adds an operator key. Only the hash of the key is stored. */
+/** Adds an operator with a key. Only the digest of the key is stored. */
 export const createOperator = newAction({
 	name: 'createOperator',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.operators, command.name, 'operator');
-		putRecord(draft, draft.intent.operators, command.name, fields);
+		requireAbsent(transaction.intent.operators, command.name, 'operator');
+		putRecord(transaction, transaction.intent.operators, command.name, fields);
 	},
 });
--- a/packages/intent/src/actions/create-team.ts
+++ b/packages/intent/src/actions/create-team.ts
@@ -14,13 +14,13 @@
 	classes: Schema.optionalKey(Schema.Array(NAME)),
 });
 
-/** Creates a team. */
+/** Creates a team without keys; omitted fields get default values. */
 export const createTeam = newAction({
 	name: 'createTeam',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		requireAbsent(draft.intent.teams, command.name, 'team');
-		putRecord(draft, draft.intent.teams, command.name, {...newTeam(command.name), ...fields});
+		requireAbsent(transaction.intent.teams, command.name, 'team');
+		putRecord(transaction, transaction.intent.teams, command.name, {...newTeam(command.name), ...fields});
 	},
 });
--- a/packages/intent/src/actions/create-version.ts
+++ b/packages/intent/src/actions/create-version.ts
@@ -11,16 +11,16 @@
 	name: NAME,
 });
 
-/** Adds a version to a model. It is served once the model is altered to it, or when it is named. */
+/** Adds a version to a model. The version serves requests that name it. Other requests reach it once `alterModel` makes it the served one. */
 export const createVersion = newAction({
 	name: 'createVersion',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const model = requirePresent(draft.intent.models, command.model, 'model');
+	perform(transaction, command) {
+		const model = requirePresent(transaction.intent.models, command.model, 'model');
 		if (model.versions.includes(command.name)) {
 			throw new ValeleadError(`version ${command.name} of model ${command.model} exists`, {code: RESULT_CODE.AlreadyExists});
 		}
 
-		putRecord(draft, draft.intent.models, command.model, {...model, versions: [...model.versions, command.name]});
+		putRecord(transaction, transaction.intent.models, command.model, {...model, versions: [...model.versions, command.name]});
 	},
 });
--- a/packages/intent/src/actions/drain.ts
+++ b/packages/intent/src/actions/drain.ts
@@ -10,17 +10,17 @@
 	name: NAME,
 });
 
-/** Drains a VM, a data centre or the VMs of a model: they get no new work. */
+/** Drains a VM, the upstream on a VM, or all VMs of a data centre: they get no new work, and their replicas are revoked. */
 export const drain = newAction({
 	name: 'drain',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		if (command.target === 'dataCentre') {
-			putRecord(draft, draft.intent.drainedDataCentres, command.name, command.name);
+			putRecord(transaction, transaction.intent.drainedDataCentres, command.name, command.name);
 			return;
 		}
 
-		const vm = requirePresent(draft.intent.vms, command.name, 'VM');
-		putRecord(draft, draft.intent.vms, command.name, {...vm, isDrained: true});
+		const vm = requirePresent(transaction.intent.vms, command.name, 'VM');
+		putRecord(transaction, transaction.intent.vms, command.name, {...vm, isDrained: true});
 	},
 });
--- a/packages/intent/src/actions/drop-adapter.ts
+++ b/packages/intent/src/actions/drop-adapter.ts
@@ -11,13 +11,13 @@
 	name: NAME,
 });
 
-/** Drops an adapter. Its replicas are revoked by the placement. */
+/** Deletes an adapter. The placement then revokes the grants of its replicas. */
 export const dropAdapter = newAction({
 	name: 'dropAdapter',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const key = getAdapterKey(command.model, command.name);
-		requirePresent(draft.intent.adapters, key, 'adapter');
-		deleteRecord(draft, draft.intent.adapters, key);
+		requirePresent(transaction.intent.adapters, key, 'adapter');
+		deleteRecord(transaction, transaction.intent.adapters, key);
 	},
 });
--- a/packages/intent/src/actions/drop-model.ts
+++ b/packages/intent/src/actions/drop-model.ts
@@ -10,13 +10,13 @@
 	name: NAME,
 });
 
-/** Drops a model without adapters. Its replicas are revoked by the placement. */
+/** Deletes a model, provided that it has no adapters. The placement then revokes the grants of its replicas. */
 export const dropModel = newAction({
 	name: 'dropModel',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.models, command.name, 'model');
-		requireUnused([...draft.intent.adapters.values()], adapter => adapter.model === command.name, `model ${command.name}`);
-		deleteRecord(draft, draft.intent.models, command.name);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.models, command.name, 'model');
+		requireUnused([...transaction.intent.adapters.values()], adapter => adapter.model === command.name, `model ${command.name}`);
+		deleteRecord(transaction, transaction.intent.models, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-operator.ts
+++ b/packages/intent/src/actions/drop-operator.ts
@@ -9,12 +9,12 @@
 	name: NAME,
 });
 
-/** Withdraws an operator key. */
+/** Deletes an operator and the operator's key. */
 export const dropOperator = newAction({
 	name: 'dropOperator',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.operators, command.name, 'operator');
-		deleteRecord(draft, draft.intent.operators, command.name);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.operators, command.name, 'operator');
+		deleteRecord(transaction, transaction.intent.operators, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-service.ts
+++ b/packages/intent/src/actions/drop-service.ts
@@ -9,12 +9,12 @@
 	name: NAME,
 });
 
-/** Drops the route of a plain service. */
+/** Deletes the route of a plain service. */
 export const dropService = newAction({
 	name: 'dropService',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.services, command.name, 'service');
-		deleteRecord(draft, draft.intent.services, command.name);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.services, command.name, 'service');
+		deleteRecord(transaction, transaction.intent.services, command.name);
 	},
 });
--- a/packages/intent/src/actions/drop-version.ts
+++ b/packages/intent/src/actions/drop-version.ts
@@ -11,17 +11,17 @@
 	name: NAME,
 });
 
-/** Drops a version that is not the one served. */
+/** Deletes a version of a model, provided that it is not the served version. */
 export const dropVersion = newAction({
 	name: 'dropVersion',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const model = requirePresent(draft.intent.models, command.model, 'model');
+	perform(transaction, command) {
+		const model = requirePresent(transaction.intent.models, command.model, 'model');
 		if (model.version === command.name) {
 			throw new ValeleadError(`version ${command.name} of model ${command.model} is served`, {code: RESULT_CODE.StillInUse});
 		}
 
 		const versions = model.versions.filter(version => version !== command.name);
-		putRecord(draft, draft.intent.models, command.model, {...model, versions});
+		putRecord(transaction, transaction.intent.models, command.model, {...model, versions});
 	},
 });
--- a/packages/intent/src/actions/forget-vm.ts
+++ b/packages/intent/src/actions/forget-vm.ts
@@ -10,16 +10,16 @@
 	name: NAME,
 });
 
-/** Declares that a VM is gone for good: what was granted to it is free again. */
+/** Removes a VM that will not return, together with its grants. The replicas may then be granted to other VMs. */
 export const forgetVm = newAction({
 	name: 'forgetVm',
 	schema: SCHEMA,
-	perform(draft, command) {
-		requirePresent(draft.intent.vms, command.name, 'VM');
-		for (const grantId of draft.intent.grantsByVm.get(command.name) ?? []) {
-			deleteGrant(draft, grantId);
+	perform(transaction, command) {
+		requirePresent(transaction.intent.vms, command.name, 'VM');
+		for (const grantId of transaction.intent.grantsByVm.get(command.name) ?? []) {
+			deleteGrant(transaction, grantId);
 		}
 
-		deleteRecord(draft, draft.intent.vms, command.name);
+		deleteRecord(transaction, transaction.intent.vms, command.name);
 	},
 });
--- a/packages/intent/src/actions/register-vm.ts
+++ b/packages/intent/src/actions/register-vm.ts
@@ -17,19 +17,19 @@
 });
 
 /**
- * Records the agent that holds a VM. Grants stay: an order may have reached the new run of an upstream,
- * so only what the agent finds there is proof.
+ * Registers a VM and the agent that manages it. The VM's grants stay even if its upstream has restarted: an order may have reached the new process,
+ * so only the status that the agent reads from it shows what is loaded.
  */
 export const registerVm = newAction({
 	name: 'registerVm',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		const {kind, ...fields} = command;
-		const known = draft.intent.vms.get(command.name);
+		const known = transaction.intent.vms.get(command.name);
 		if (known && isOlderIncarnation(command.incarnation, known.incarnation)) {
 			throw new ValeleadError(`VM ${command.name} is held by a newer agent`, {code: RESULT_CODE.VmAlreadyHeld});
 		}
 
-		putRecord(draft, draft.intent.vms, command.name, {...fields, isDrained: known?.isDrained ?? false});
+		putRecord(transaction, transaction.intent.vms, command.name, {...fields, isDrained: known?.isDrained ?? false});
 	},
 });
--- a/packages/intent/src/actions/release-request.ts
+++ b/packages/intent/src/actions/release-request.ts
@@ -9,12 +9,12 @@
 	name: NAME,
 });
 
-/** Lets a quarantined request through to upstreams again. */
+/** Lifts the quarantine of a request, so that the request is sent to upstreams again. */
 export const releaseRequest = newAction({
 	name: 'releaseRequest',
 	schema: SCHEMA,
-	perform(draft, {name}) {
-		requirePresent(draft.intent.quarantines, name, 'quarantined request');
-		deleteRecord(draft, draft.intent.quarantines, name);
+	perform(transaction, {name}) {
+		requirePresent(transaction.intent.quarantines, name, 'quarantined request');
+		deleteRecord(transaction, transaction.intent.quarantines, name);
 	},
 });
--- a/packages/intent/src/actions/revoke.ts
+++ b/packages/intent/src/actions/revoke.ts
@@ -8,12 +8,12 @@
 	grantId: Schema.String,
 });
 
-/** Decides that a VM gives up a replica. The replica counts until it is released. */
+/** Revokes a grant, so that the VM unloads the replica. The replica counts against the limits until the grant is released. */
 export const revoke = newAction({
 	name: 'revoke',
 	schema: SCHEMA,
-	perform(draft, command) {
-		const grant = requirePresent(draft.intent.grants, command.grantId, 'grant');
-		putRecord(draft, draft.intent.grants, grant.id, {...grant, isRevoking: true});
+	perform(transaction, command) {
+		const grant = requirePresent(transaction.intent.grants, command.grantId, 'grant');
+		putRecord(transaction, transaction.intent.grants, grant.id, {...grant, isRevoking: true});
 	},
 });
--- a/packages/intent/src/actions/start.ts
+++ b/packages/intent/src/actions/start.ts
@@ -9,11 +9,11 @@
 	name: NAME,
 });
 
-/** Lets a stopped team, model or service serve again. */
+/** Starts a stopped team, model or service again, so that new requests are accepted. */
 export const start = newAction({
 	name: 'start',
 	schema: SCHEMA,
-	perform(draft, command) {
-		mutateStopped(draft, command.target, command.name, false);
+	perform(transaction, command) {
+		mutateStopped(transaction, command.target, command.name, false);
 	},
 });
--- a/packages/intent/src/actions/stop.ts
+++ b/packages/intent/src/actions/stop.ts
@@ -9,11 +9,11 @@
 	name: NAME,
 });
 
-/** Stops a team, model or service: its new requests are refused. */
+/** Stops a team, model or service, so that new requests for it are refused. */
 export const stop = newAction({
 	name: 'stop',
 	schema: SCHEMA,
-	perform(draft, command) {
-		mutateStopped(draft, command.target, command.name, true);
+	perform(transaction, command) {
+		mutateStopped(transaction, command.target, command.name, true);
 	},
 });
--- a/packages/intent/src/actions/undrain.ts
+++ b/packages/intent/src/actions/undrain.ts
@@ -11,18 +11,18 @@
 	name: NAME,
 });
 
-/** Undoes a drain. */
+/** Ends the drain of a VM, the upstream on a VM, or a data centre. */
 export const undrain = newAction({
 	name: 'undrain',
 	schema: SCHEMA,
-	perform(draft, command) {
+	perform(transaction, command) {
 		if (command.target === 'dataCentre') {
-			requirePresent(draft.intent.drainedDataCentres, command.name, 'drained data centre');
-			deleteRecord(draft, draft.intent.drainedDataCentres, command.name);
+			requirePresent(transaction.intent.drainedDataCentres, command.name, 'drained data centre');
+			deleteRecord(transaction, transaction.intent.drainedDataCentres, command.name);
 			return;
 		}
 
-		const vm = requirePresent(draft.intent.vms, command.name, 'VM');
-		putRecord(draft, draft.intent.vms, command.name, {...vm, isDrained: false});
+		const vm = requirePresent(transaction.intent.vms, command.name, 'VM');
+		putRecord(transaction, transaction.intent.vms, command.name, {...vm, isDrained: false});
 	},
 });
