--- a/apps/valelead-cli/src/action.ts
+++ b/apps/valelead-cli/src/action.ts
@@ -1,12 +1,13 @@
 import type {CommonOptions} from './common-options.js';
 import type {Connection} from './connection.js';
 
-/** What an action works with. */
+/** Connection, options and output functions that an action uses. */
 type ActionContext = {
 	readonly connection: Connection;
 	readonly options: CommonOptions;
+	/** Prints the output of the action. */
 	readonly print: (text: string) => void;
-	/** Where progress goes, apart from the output. */
+	/** Prints progress messages, separately from the output of the action. */
 	readonly printProgress: (text: string) => void;
 };
 
--- a/apps/valelead-cli/src/actions/apply.ts
+++ b/apps/valelead-cli/src/actions/apply.ts
@@ -12,7 +12,7 @@
 	readonly isDryRun: boolean;
 };
 
-/** For each kind that creates something: where it is listed, and what changes it if it is there. */
+/** For each kind of create command: the listing of its objects, the field that names their owner, and the command that changes an existing one. */
 const CREATIONS: Readonly<Record<string, {readonly listing: string; readonly owner: string; readonly alter: string | undefined}>> = {
 	createTeam: {listing: 'teams', owner: '', alter: 'alterTeam'},
 	createClass: {listing: 'classes', owner: '', alter: 'alterClass'},
@@ -55,7 +55,7 @@
 	return {line: `~ ${creation.alter} ${fields.name}`, command: altered};
 };
 
-/** Brings the configuration to what a file states, all of it or nothing; applying it again changes nothing more. */
+/** Changes the configuration to the state that a file declares, in one atomic change. Applying the same file again has no further effect. */
 export const apply: Action<ApplyParameters> = {
 	name: 'apply',
 	async perform({connection, print, printProgress}, {file, isDryRun}) {
--- a/apps/valelead-cli/src/actions/completion.ts
+++ b/apps/valelead-cli/src/actions/completion.ts
@@ -1,7 +1,7 @@
 import {LISTINGS, STATEMENT_KINDS} from '@valelead/language';
 import type {Action} from '../action.js';
 
-/** Prints a completion script for bash. */
+/** Prints a completion script for Bash. */
 export const completion: Pick<Action<undefined>, 'name'> & {readonly perform: (print: (text: string) => void) => void} = {
 	name: 'completion',
 	perform(print) {
--- a/apps/valelead-cli/src/actions/exec.ts
+++ b/apps/valelead-cli/src/actions/exec.ts
@@ -8,13 +8,13 @@
 
 type ExecParameters = {
 	readonly text: string;
-	/** A resend with the same id returns the first result. */
+	/** Idempotency key: a command that is sent again with the same id returns its first result. */
 	readonly commandId?: string;
 	readonly expectedRevision?: number;
 	readonly isWaiting: boolean;
 };
 
-/** Runs statements: listings one by one, changes together. */
+/** Executes statements: first all changes, in one atomic change, then the queries one by one. */
 export const exec: Action<ExecParameters> = {
 	name: 'exec',
 	async perform({connection, options, print, printProgress}, parameters) {
--- a/apps/valelead-cli/src/actions/repl.ts
+++ b/apps/valelead-cli/src/actions/repl.ts
@@ -13,7 +13,7 @@
 
 const complete = (line: string): [string[], string] => [STARTS.filter(start => start.startsWith(line)), line];
 
-/** Reads statements line by line; an error does not end the session. */
+/** Reads and executes statements line by line. An error is printed and does not end the session. */
 export const repl: Action<undefined> = {
 	name: 'repl',
 	async perform(context) {
--- a/apps/valelead-cli/src/common-options.ts
+++ b/apps/valelead-cli/src/common-options.ts
@@ -1,10 +1,10 @@
-/** Options of every action. */
+/** Command-line options that all actions share. */
 export type CommonOptions = {
 	/** Addresses of the voters, separated by commas. */
 	readonly control: string;
 	readonly keyFile: string;
 	readonly output: 'table' | 'json';
-	/** Milliseconds. */
+	/** Time to wait for the leader, in milliseconds. */
 	readonly timeout: number;
 	readonly certificateFile?: string;
 	readonly certificateKeyFile?: string;
--- a/apps/valelead-cli/src/connection.ts
+++ b/apps/valelead-cli/src/connection.ts
@@ -22,7 +22,7 @@
 	readonly isDryRun: boolean;
 };
 
-/** A connection of the command-line tool to the leader. */
+/** The connection of the command-line tool to the leader. */
 export class Connection {
 	readonly timers = new TimerService(SYSTEM_CLOCK);
 	readonly #pool: ChannelPool;
@@ -37,7 +37,7 @@
 		this.#timeoutMs = options.timeout;
 	}
 
-	/** Sends commands that take effect together; returns the revision that they made. */
+	/** Executes commands atomically and returns the revision of the configuration that they created. */
 	async execute(commands: readonly Command[], options: ExecuteOptions): Promise<number> {
 		const request = create(ExecuteRequestSchema, {
 			commandId: options.commandId,
@@ -51,6 +51,7 @@
 		return reply.revision;
 	}
 
+	/** Executes a query and returns its rows, and the revision of the configuration that they show. */
 	async query(statement: Show | Explain): Promise<QueryResult> {
 		const request = create(QueryRequestSchema, {operatorKey: this.#operatorKey, statement: JSON.stringify(statement)});
 		const reply = await this.#leader.call(Control.method.query, request, this.#timeoutMs);
--- a/apps/valelead-cli/src/format-rows.ts
+++ b/apps/valelead-cli/src/format-rows.ts
@@ -12,5 +12,5 @@
 	return lines.map(line => line.map((cell, column) => cell.padEnd(widths[column])).join('  ').trimEnd()).join('\n');
 };
 
-/** Rows as a table, or as JSON for programs. */
+/** Formats rows as a table for people or as JSON for programs. */
 export const formatRows = (rows: readonly Row[], output: 'table' | 'json'): string => output === 'json' ? JSON.stringify(rows) : formatTable(rows);
--- a/apps/valelead-cli/src/generated-key.ts
+++ b/apps/valelead-cli/src/generated-key.ts
@@ -1,4 +1,4 @@
-/** A key that the tool made; it is shown once. */
+/** A key that the tool generated. It is printed once and not stored. */
 export type GeneratedKey = {
 	readonly name: string;
 	readonly key: string;
--- a/apps/valelead-cli/src/new-credentials.ts
+++ b/apps/valelead-cli/src/new-credentials.ts
@@ -2,7 +2,7 @@
 import {ChannelCredentials} from '@grpc/grpc-js';
 import type {CommonOptions} from './common-options.js';
 
-/** How the tool proves itself: with a certificate where files are given. */
+/** Creates TLS credentials if all three certificate files are given, and credentials for an unencrypted connection otherwise. */
 export const newCredentials = (options: CommonOptions): ChannelCredentials => {
 	if (options.certificateFile === undefined || options.certificateKeyFile === undefined || options.authorityFile === undefined) {
 		return ChannelCredentials.createInsecure();
--- a/apps/valelead-cli/src/parse-with-keys.ts
+++ b/apps/valelead-cli/src/parse-with-keys.ts
@@ -5,7 +5,7 @@
 
 type ParsedText = {
 	readonly statements: readonly Statement[];
-	/** Keys to show once; only their hashes are sent. */
+	/** The generated keys, to be printed once. Only their hashes are sent to the leader. */
 	readonly keys: readonly GeneratedKey[];
 };
 
@@ -13,7 +13,7 @@
 
 const newKey = (): string => `vl_${randomBytes(KEY_BYTES).toString('base64url')}`;
 
-/** Parses statements and makes a key for each one that creates a key without a hash. */
+/** Parses statements, and generates a key for each statement that creates a key or an operator without a hash. */
 export const parseWithKeys = (text: string): ParsedText => {
 	const byHash = new Map<string, string>();
 	const statements = parseStatements(text, () => {
--- a/apps/valelead-cli/src/wait-until-in-force.ts
+++ b/apps/valelead-cli/src/wait-until-in-force.ts
@@ -4,7 +4,10 @@
 const POLL_MS = 50;
 const LIMIT_MS = 15_000;
 
-/** Waits until every live entry has the revision, with a line for each step. Returns whether all have it. */
+/**
+ * Waits until all live entries have applied a revision, and prints a line whenever their number changes.
+ * Returns false if some have not applied it within the time limit.
+ */
 export const waitUntilInForce = async (connection: Connection, revision: number, printProgress: (text: string) => void): Promise<boolean> => {
 	const endsAt = SYSTEM_CLOCK.now() + LIMIT_MS;
 	let shown = -1;
--- a/packages/protocol/src/channel-pool.ts
+++ b/packages/protocol/src/channel-pool.ts
@@ -1,7 +1,7 @@
 import type {ChannelCredentials} from '@grpc/grpc-js';
 import {Channel} from './channel.js';
 
-/** One channel for each address. */
+/** Keeps one channel per address and opens it on first use. */
 export class ChannelPool {
 	readonly #credentials: ChannelCredentials;
 	readonly #channels = new Map<string, Channel>();
@@ -10,6 +10,7 @@
 		this.#credentials = credentials;
 	}
 
+	/** Returns the channel to an address. */
 	get(address: string): Channel {
 		const known = this.#channels.get(address);
 		if (known) {
@@ -21,7 +22,7 @@
 		return channel;
 	}
 
-	/** Drops the connection to an address; the next call opens a new one. */
+	/** Closes the channel to an address; the next call to that address opens a new one. */
 	reset(address: string): void {
 		this.#channels.get(address)?.close();
 		this.#channels.delete(address);
--- a/packages/protocol/src/channel.ts
+++ b/packages/protocol/src/channel.ts
@@ -15,8 +15,8 @@
 const MAX_RECONNECT_MS = 1000;
 
 /**
- * A connection is tried this often, and counts as lost without an answer in the second time, in milliseconds. A machine
- * without power says nothing; what it was to load is decided anew once it is missed.
+ * Interval of keepalive pings, and the time without a reply after which a connection counts as lost, in milliseconds. A machine that loses power
+ * does not close its connections; once the loss is detected, other engines are chosen for the models that it was to load.
  */
 const KEEPALIVE_MS = 1500;
 const KEEPALIVE_TIMEOUT_MS = 1000;
@@ -27,7 +27,7 @@
 
 const newDeserialize = <Desc extends DescMessage>(desc: Desc) => (bytes: Uint8Array): MessageShape<Desc> => fromBinary(desc, bytes);
 
-/** A connection to another process of the installation, with typed calls. */
+/** A gRPC connection to another process of the installation, with typed calls. */
 export class Channel {
 	readonly #client: Client;
 
@@ -45,7 +45,7 @@
 		});
 	}
 
-	/** One request, one reply; rejects after the timeout. */
+	/** Sends a request and resolves with its reply. Rejects if the call fails or the timeout, in milliseconds, expires. */
 	async unary<Input extends DescMessage, Output extends DescMessage>(method: DescMethodUnary<Input, Output>, request: MessageShape<Input>, timeoutMs: number): Promise<MessageShape<Output>> {
 		return new Promise((resolve, reject) => {
 			this.#client.makeUnaryRequest(
--- a/packages/protocol/src/leader-calls.ts
+++ b/packages/protocol/src/leader-calls.ts
@@ -4,7 +4,7 @@
 } from '@valelead/common';
 import type {ChannelPool} from './channel-pool.js';
 
-/** What every reply of a voter says. */
+/** The fields that every reply of a voter has. */
 type ControlReply = {
 	readonly code: number;
 	readonly leaderAddress: string;
@@ -12,13 +12,13 @@
 
 const RETRY_MS = 50;
 
-/** A voter that does not answer for longer is passed over; it may be frozen. */
+/** A voter that does not reply within this time is skipped, as its process may be suspended. */
 const ATTEMPT_MS = 700;
 
-/** Calls the leader, wherever it is: follows the address in a reply, and tries the voters in turn. */
+/** Calls the current leader. Follows the leader address in a voter's reply, and tries the known voters in turn if none names a leader. */
 export class LeaderCalls {
 	readonly #pool: ChannelPool;
-	/** What the settings name. */
+	/** Addresses of voters in the settings. */
 	readonly #configured: readonly string[];
 	#addresses: readonly string[];
 	readonly #timers: TimerService;
@@ -34,29 +34,32 @@
 		this.#clock = clock;
 	}
 
-	/** The address to try next. */
+	/** The address that the next call goes to. */
 	get address(): string {
 		return this.#leader ?? this.#addresses[this.#next % this.#addresses.length];
 	}
 
-	/** Whether the address to try next is the leader by somebody's word, and not the next one of the list. */
+	/** True if the next call goes to an address that a voter named as the leader, false if it goes to the next voter of the list. */
 	get isNamed(): boolean {
 		return this.#leader !== undefined;
 	}
 
-	/** How many addresses are tried in turn. */
+	/** The number of voter addresses that are tried in turn. */
 	get count(): number {
 		return this.#addresses.length;
 	}
 
-	/** Learns where the voters are now. Those of the settings are tried after them: all that were learnt may have moved when this process hears again. */
+	/**
+	 * Updates the addresses of the voters. The addresses in the settings are tried after them: while this process has no contact with the
+	 * installation, all other known voters may move to other addresses.
+	 */
 	learn(addresses: readonly string[]): void {
 		if (addresses.length > 0) {
 			this.#addresses = [...new Set([...addresses, ...this.#configured])];
 		}
 	}
 
-	/** Takes the word of a voter on who leads; an empty address means that it does not know. */
+	/** Sets the leader that a voter named. An empty address means that the voter knows no leader; the next call then goes to the next voter. */
 	redirect(address: string): void {
 		this.#leader = address === '' ? undefined : address;
 		if (address === '') {
@@ -64,7 +67,7 @@
 		}
 	}
 
-	/** Repeats the call until a leader answers it or the time is over. The call must be idempotent. */
+	/** Repeats a call until a leader replies. Throws NoQuorum if none replies within the timeout, in milliseconds. The call must be idempotent. */
 	async call<Input extends DescMessage, Output extends DescMessage>(
 		method: DescMethodUnary<Input,
 			Output>,
@@ -93,7 +96,7 @@
 	): Promise<(MessageShape<Output> & ControlReply) | undefined> {
 		const attemptMs = Math.min(timeoutMs, ATTEMPT_MS);
 		try {
-			// The library measures its deadline by the time of day, which may step; the wait beside it does not.
+			// The gRPC library measures its deadline by the wall clock, which may be set forward or back; this timer uses the monotonic clock.
 			const answer = this.#pool.get(this.address).unary(method, request, attemptMs) as Promise<MessageShape<Output> & ControlReply>;
 			return await Promise.race([answer, this.#waitInVain(attemptMs)]);
 		} catch {
--- a/packages/protocol/src/new-service-definition.ts
+++ b/packages/protocol/src/new-service-definition.ts
@@ -4,7 +4,7 @@
 } from '@bufbuild/protobuf';
 import type {MethodDefinition, ServiceDefinition, UntypedServiceImplementation} from '@grpc/grpc-js';
 
-/** A message that is written to many streams is serialised once. It must not change after it was written. */
+/** Caches the serialised form of each message, as the same message may be written to many streams. A message must not change once written. */
 const newSharedSerialize = <Desc extends DescMessage>(desc: Desc): (value: MessageShape<Desc>) => Buffer => {
 	const serialised = new WeakMap<MessageShape<Desc>, Buffer>();
 	return value => {
@@ -29,7 +29,7 @@
 	responseDeserialize: bytes => fromBinary(output, bytes),
 });
 
-/** Turns a generated service description into the definition that grpc-js takes. */
+/** Converts a generated service description into a service definition for grpc-js. */
 export const newServiceDefinition = (service: DescService): ServiceDefinition => {
 	const definition: Record<string, MethodDefinition<unknown, unknown>> = {};
 	for (const method of service.methods) {
