--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -11,21 +11,21 @@
 	readonly store: WeightStore;
 	readonly terms: EngineTerms;
 	readonly models: ReadonlyMap<string, ModelTerms>;
-	/** How slow the engine is, relative to its terms. */
+	/** Factor by which the engine is slower than its parameters say. */
 	readonly slowness: number;
-	/** Called when an order for a model is done. */
+	/** Called when the load or unload of a model has ended. */
 	readonly onOrderEnd?: () => void;
-	/** Called when the engine has crashed under a request. */
+	/** Called when a request has crashed the engine. */
 	readonly onCrash?: () => void;
 };
 
-/** A load or an unload of a model. */
+/** An order to load or unload a model. */
 type ModelOrder = {
 	readonly kind: 'load' | 'unload';
 	readonly model: string;
 };
 
-/** Counts of what an engine has loaded, by where the weights came from, and for how long it was busy. */
+/** Number of loads by the source of the weights, and the total time that loads and unloads took, in milliseconds. */
 type LoadCounts = {
 	memory: number;
 	disk: number;
@@ -33,7 +33,7 @@
 	busyMs: number;
 };
 
-/** A model engine: it holds models within its memory, carries out one order at a time and serves what it holds meanwhile. */
+/** Emulates a model engine. It executes one load or unload of a model at a time, and serves its loaded models meanwhile. */
 export class EmulatedEngine {
 	readonly counts: LoadCounts = {
 		memory: 0, disk: 0, store: 0, busyMs: 0,
@@ -41,7 +41,7 @@
 
 	readonly #parts: EngineParts;
 	readonly #batch: EngineBatch;
-	/** Held models with their adapters. */
+	/** The adapters of each loaded model. */
 	readonly #held = new Map<string, Set<string>>();
 	readonly #memoryCopies: WeightCopies;
 	readonly #diskCopies: WeightCopies;
@@ -88,7 +88,7 @@
 		return this.#isUp;
 	}
 
-	/** Whether it crashed with its machine up, so that its port refuses connections. */
+	/** True if the engine crashed while its machine stayed up, so that its port refuses connections. */
 	get isBroken(): boolean {
 		return this.#isBroken;
 	}
@@ -105,29 +105,30 @@
 		return this.#batch.queuedCount;
 	}
 
-	/** Places a model at once, with copies in memory and on the disk, as an installation does at its start. */
+	/** Loads a model without delay, with copies in host memory and on disk. Used to set up an installation at its start. */
 	place(model: string): void {
 		this.#held.set(model, new Set());
 		this.keepCopy(model);
 	}
 
-	/** Keeps a copy of a model on the disk and in host memory. */
+	/** Stores a copy of a model in host memory and on disk. */
 	keepCopy(model: string): void {
 		this.#memoryCopies.use(model, this.#parts.models.get(model)!.weightMemory);
 		this.keepDiskCopy(model);
 	}
 
-	/** Keeps a copy of a model on the disk alone. */
+	/** Stores a copy of a model on disk only. */
 	keepDiskCopy(model: string): void {
 		this.#diskCopies.use(model, this.#parts.models.get(model)!.weightMemory);
 	}
 
-	/** Ends the engine for good; what it runs gets no further word. */
+	/** Stops the engine permanently. Its unfinished requests receive no further callbacks. */
 	crash(): void {
 		this.#isUp = false;
 		this.#held.clear();
 	}
 
+	/** Starts or queues a request. Rejects it if the engine is down, the model or adapter is not loaded, or the queue is full. */
 	send(run: EngineRun): void {
 		const isGoing = this.#order?.kind === 'unload' && this.#order.model === run.model;
 		const adapters = this.#held.get(run.model);
@@ -142,11 +143,14 @@
 		}
 	}
 
+	/** Cancels a request whose caller has disconnected. */
 	drop(run: EngineRun): void {
 		this.#batch.drop(run);
 	}
 
-	/** Takes an order for a model; false where another one is in progress or the state has changed since `expected`. */
+	/**
+	 * Starts to load or unload a model. Returns false if another order is in progress or if the engine's order sequence number is not `expected`.
+	 */
 	order(order: ModelOrder, expected: number): boolean {
 		if (!this.#isReady(expected)) {
 			return false;
@@ -165,7 +169,10 @@
 		return true;
 	}
 
-	/** Loads or unloads an adapter; false while an order for a model is in progress. */
+	/**
+	 * Loads or unloads an adapter. Returns false if the model is not loaded, an order for a model is in progress, or the engine's order sequence
+	 * number is not `expected`.
+	 */
 	orderAdapter(kind: 'load' | 'unload', model: string, adapter: string, expected: number): boolean {
 		const adapters = this.#held.get(model);
 		if (!adapters || !this.#isReady(expected)) {
@@ -195,7 +202,7 @@
 		return this.#isUp && this.#order === undefined && expected === this.#sequence;
 	}
 
-	/** Ends an unload once nothing of the model runs any more. */
+	/** Continues an unload once the model has no running requests. */
 	#continueUnload(): void {
 		const order = this.#order;
 		if (order?.kind !== 'unload' || this.#batch.getRunning(order.model) > 0) {
--- a/packages/emulator/src/engine-batch.ts
+++ b/packages/emulator/src/engine-batch.ts
@@ -12,21 +12,21 @@
 	readonly clock: VirtualClock;
 	readonly terms: EngineTerms;
 	readonly getPace: (model: string) => number;
-	/** Called when a run has left the batch. */
+	/** Called when a request has ended or was cancelled. */
 	readonly onLeft: () => void;
-	/** Called when a run crashes the engine. */
+	/** Called when a request crashes the engine. */
 	readonly onCrash: () => void;
 };
 
-/** A run that crashes its engine does so at this token, before its first event, or at its last one. */
+/** A request that crashes its engine does so at this token, before its first event is sent, or at its last token if that comes earlier. */
 const CRASH_TOKEN = 3;
 
-/** The requests that an engine works on: it reads prompts in chunks between the steps that make one token for each run. */
+/** Emulates continuous batching: each step reads a chunk of the waiting prompts and generates one token for each request whose prompt is read. */
 export class EngineBatch {
 	readonly #parts: BatchParts;
 	readonly #active: ActiveRun[] = [];
 	readonly #queued: EngineRun[] = [];
-	/** Models whose shared prompt parts are in the cache. */
+	/** Models whose shared prompt prefix is in the cache. */
 	readonly #cached = new Set<string>();
 	#isStepping = false;
 
@@ -42,12 +42,12 @@
 		return this.#queued.length;
 	}
 
-	/** Requests of a model that run. */
+	/** Returns the number of running requests of a model. */
 	getRunning(model: string): number {
 		return this.#active.filter(({run}) => run.model === model).length;
 	}
 
-	/** Takes a run, or returns false where the queue is full. */
+	/** Starts or queues a request. Returns false if the queue is full. */
 	take(run: EngineRun): boolean {
 		const {slots, maxQueued} = this.#parts.terms;
 		if (this.#active.length < slots) {
@@ -63,7 +63,7 @@
 		return true;
 	}
 
-	/** The caller of a run is gone. */
+	/** Cancels a running or queued request whose caller has disconnected. */
 	drop(run: EngineRun): void {
 		const queuedAt = this.#queued.indexOf(run);
 		if (queuedAt !== -1) {
@@ -78,7 +78,7 @@
 		}
 	}
 
-	/** Breaks all runs off. */
+	/** Aborts all running and queued requests, as when the engine crashes. */
 	breakAll(): void {
 		const runs = [...this.#active.map(({run}) => run), ...this.#queued];
 		this.#active.length = 0;
@@ -88,7 +88,7 @@
 		}
 	}
 
-	/** Rejects what waits for a model that goes, and forgets its cached parts. */
+	/** Rejects the queued requests of a model that is being unloaded, and evicts its prompt prefix from the cache. */
 	forget(model: string): void {
 		this.#cached.delete(model);
 		for (const run of this.#queued.filter(queued => queued.model === model)) {
@@ -127,7 +127,7 @@
 		});
 	}
 
-	/** Reads the next chunk of prompts and returns how long that takes. */
+	/** Reads the next chunk of prompt tokens and returns the time that this takes, in milliseconds. */
 	#read(): number {
 		const {chunkTokens, promptTokensPerMs} = this.#parts.terms;
 		let budget = chunkTokens;
--- a/packages/emulator/src/engine-run.ts
+++ b/packages/emulator/src/engine-run.ts
@@ -1,13 +1,15 @@
 import type {RunTerms} from './run-terms.js';
 
-/** One request at an engine, with what it calls back. After `onEnd`, `onReject` or `onBroken` nothing more comes. */
+/** A request to an emulated engine, with its callbacks. No callback follows `onEnd`, `onReject` or the loss of the connection. */
 export type EngineRun = RunTerms & {
-	/** Its first token is made. */
+	/** Called when the first token has been generated. */
 	readonly onBegin: () => void;
+	/** Called when an event of the response is sent. */
 	readonly onEvent: () => void;
+	/** Called when the response is complete. */
 	readonly onEnd: () => void;
-	/** It was not run. `isMissing` tells that the engine does not hold what it asks for. */
+	/** Called if the request was not executed. `isMissing` is true if the engine is down or has not loaded the model or adapter. */
 	readonly onReject: (isMissing: boolean) => void;
-	/** The engine crashed, and the connection broke with it. */
+	/** Called when the connection is lost as the engine has crashed. */
 	readonly onBroken: () => void;
 };
--- a/packages/emulator/src/engine-terms.ts
+++ b/packages/emulator/src/engine-terms.ts
@@ -1,20 +1,21 @@
-/** What one kind of model engine can hold and how fast it works. Memory in megabytes, times in milliseconds. */
+/** Capacity and speed of one type of model engine. Memory is in megabytes, times are in milliseconds. */
 export type EngineTerms = {
+	/** Maximum number of requests that run at the same time. */
 	readonly slots: number;
-	/** Requests that wait for a slot at most. */
+	/** Maximum number of requests that wait for a slot. */
 	readonly maxQueued: number;
-	/** A step of the batch, and what each running request adds to it. */
+	/** Base duration of a step that generates tokens, and the time that each request in the step adds. */
 	readonly stepMs: number;
 	readonly stepMsPerRun: number;
 	readonly promptTokensPerMs: number;
-	/** Prompt tokens that are read within one step at most. */
+	/** Maximum number of prompt tokens that are read within one step. */
 	readonly chunkTokens: number;
 	readonly tokensPerEvent: number;
 	readonly weightMemory: number;
 	readonly adapterSlots: number;
-	/** Room for copies of weights in host memory and on the disk. */
+	/** Capacity for copies of weights in host memory and on disk. */
 	readonly hostMemory: number;
 	readonly diskMemory: number;
-	/** How long an unload takes once the model's runs have ended. */
+	/** Duration of an unload, after the model's running requests have ended. */
 	readonly unloadMs: number;
 };
--- a/packages/emulator/src/length-terms.ts
+++ b/packages/emulator/src/length-terms.ts
@@ -1,7 +1,7 @@
-/** How long prompts or answers are. */
+/** Log-normal distribution of the lengths of prompts or responses, in tokens. */
 export type LengthTerms = {
 	readonly mean: number;
-	/** The standard deviation of the logarithm. */
+	/** Standard deviation of the logarithm of the length. */
 	readonly spread: number;
 	readonly max: number;
 };
--- a/packages/emulator/src/model-terms.ts
+++ b/packages/emulator/src/model-terms.ts
@@ -1,14 +1,14 @@
-/** One model: its size, its load times and its speed. Memory in megabytes, times in milliseconds. */
+/** Size, load times and speed of a model. Memory is in megabytes, times are in milliseconds. */
 export type ModelTerms = {
 	readonly name: string;
 	readonly weightMemory: number;
 	readonly adapterMemory: number;
-	/** Adapters it has, named a1, a2 and so on. */
+	/** Number of adapters of the model. They are named a1, a2 and so on. */
 	readonly adapters: number;
 	readonly adapterLoadMs: number;
 	readonly storeLoadMs: number;
 	readonly diskLoadMs: number;
 	readonly memoryLoadMs: number;
-	/** How long steps take, relative to the engine's own. */
+	/** Duration of the model's steps as a multiple of the engine's step time. */
 	readonly pace: number;
 };
--- a/packages/emulator/src/run-terms.ts
+++ b/packages/emulator/src/run-terms.ts
@@ -1,14 +1,15 @@
-/** What one request asks of an engine. */
+/** Model, lengths and priority of a request to an emulated engine. */
 export type RunTerms = {
 	readonly model: string;
 	readonly adapter: string;
-	/** Tokens of the prompt that belong to this request alone. */
+	/** Prompt tokens that are specific to this request. */
 	readonly ownTokens: number;
-	/** Tokens of the prompt that all requests of the model share. */
+	/** Prompt tokens of the prefix that all requests of the model share. */
 	readonly sharedTokens: number;
+	/** Number of tokens that the engine generates for the request. */
 	readonly newTokens: number;
-	/** 0 is the most urgent. */
+	/** Priority in the engine's queue; 0 is the highest. */
 	readonly priority: number;
-	/** The engine crashes as it begins to run it. */
+	/** True if the request crashes the engine soon after its first token. */
 	readonly isCrashing?: boolean;
 };
--- a/packages/emulator/src/virtual-clock.ts
+++ b/packages/emulator/src/virtual-clock.ts
@@ -9,14 +9,14 @@
 
 const isBefore = (left: Scheduled, right: Scheduled): boolean => left.dueAt === right.dueAt ? left.order < right.order : left.dueAt < right.dueAt;
 
-/** Resolves once all promises that are settled by now have run their continuations. */
+/** Resolves after the continuations of all promises that are already settled have run. */
 const flushPromises = async (): Promise<void> => new Promise(resolve => {
 	setImmediate(resolve);
 });
 
-/** Time in milliseconds that passes only from one scheduled event to the next. */
+/** A simulated clock, in milliseconds. Time advances only when `runUntil` runs the scheduled callbacks, from one due time to the next. */
 export class VirtualClock implements Clock, Wakeups {
-	/** A binary heap; the event that is due next comes first. */
+	/** Binary min-heap of the scheduled callbacks, ordered by due time and then by order of scheduling. */
 	readonly #heap: Scheduled[] = [];
 	#now = 0;
 	#order = 0;
@@ -24,7 +24,7 @@
 	readonly now = (): number => this.#now;
 	readonly wallNow = (): number => this.#now;
 
-	/** Runs something after a delay; equal times run in the order of their scheduling. */
+	/** Schedules a callback after a delay. Callbacks that are due at the same time run in the order in which they were scheduled. */
 	after(delayMs: number, run: () => void): Scheduled {
 		this.#order += 1;
 		const scheduled = {
@@ -45,7 +45,7 @@
 		}
 	}
 
-	/** Carries out everything that is due until a time. */
+	/** Runs all callbacks that are due up to and including a time, and then sets the clock to that time. */
 	async runUntil(endsAt: number): Promise<void> {
 		for (let next = this.#take(endsAt); next; next = this.#take(endsAt)) {
 			this.#now = next.dueAt;
--- a/packages/emulator/src/weight-copies.ts
+++ b/packages/emulator/src/weight-copies.ts
@@ -1,7 +1,7 @@
-/** Copies of weights on one medium; the least recently used ones give way. Memory in megabytes. */
+/** An LRU cache of weights in host memory or on disk. Sizes are in megabytes. */
 export class WeightCopies {
 	readonly #capacity: number;
-	/** From the least recently used to the most recently used. */
+	/** Sizes of the copies by model, from the least to the most recently used. */
 	readonly #sizes = new Map<string, number>();
 
 	constructor(capacity: number) {
@@ -16,7 +16,7 @@
 		return this.#sizes.has(name);
 	}
 
-	/** Adds a copy, or notes its use. */
+	/** Adds a copy or marks it as most recently used, and evicts the least recently used copies that exceed the capacity. */
 	use(name: string, size: number): void {
 		this.#sizes.delete(name);
 		this.#sizes.set(name, size);
--- a/packages/emulator/src/weight-store.ts
+++ b/packages/emulator/src/weight-store.ts
@@ -1,18 +1,18 @@
 import type {VirtualClock} from './virtual-clock.js';
 
-/** The store that all engines fetch weights from: beyond some loads at once each one slows in proportion. */
+/** The store from which all engines fetch weights. Beyond a number of concurrent loads, each load is slowed down in proportion to their number. */
 export class WeightStore {
 	readonly #clock: VirtualClock;
 	readonly #fullSpeedLoads: number;
 	#running = 0;
 
-	/** @param fullSpeedLoads - Loads at once that are not slowed. */
+	/** @param fullSpeedLoads - Maximum number of concurrent loads that are not slowed down. */
 	constructor(clock: VirtualClock, fullSpeedLoads: number) {
 		this.#clock = clock;
 		this.#fullSpeedLoads = fullSpeedLoads;
 	}
 
-	/** Fetches weights; the slow-down is that at the start of the load. */
+	/** Fetches weights. The number of concurrent loads at the start of the fetch determines its slowdown. */
 	fetch(loadMs: number, onEnd: () => void): void {
 		this.#running += 1;
 		this.#clock.after(loadMs * Math.max(1, this.#running / this.#fullSpeedLoads), () => {
--- a/packages/language/src/attribute-kinds.ts
+++ b/packages/language/src/attribute-kinds.ts
@@ -47,10 +47,10 @@
 	return {...(least !== undefined && {minReplicas: Number(least)}), maxReplicas: Number(groups.most)};
 };
 
-/** How the values of an attribute become the fields of a command. */
+/** Converts the values of an attribute into fields of a command. */
 type AttributeParser = (values: readonly ParsedWord[]) => Readonly<Record<string, unknown>>;
 
-/** Every attribute of the language by its name. */
+/** Parsers for the values of all attributes of the operator language, by attribute name. */
 export const ATTRIBUTE_KINDS: Readonly<Record<string, AttributeParser>> = {
 	memory: ([value]) => ({memoryBytes: parseQuantity(value, BYTES, '16GiB')}),
 	replicas: ([value]) => parseRange(value),
--- a/packages/language/src/condition.ts
+++ b/packages/language/src/condition.ts
@@ -1,4 +1,4 @@
-/** A condition of a listing. */
+/** A comparison in the `where` clause of a `show` statement. */
 export type Condition = {
 	readonly field: string;
 	readonly operator: string;
--- a/packages/language/src/error-messages.ts
+++ b/packages/language/src/error-messages.ts
@@ -22,7 +22,7 @@
 	return [...new Set(texts)].join(' or ');
 };
 
-/** What was expected where a statement goes wrong, in words. */
+/** Messages for syntax errors. Each describes the input that the parser expected at the position of the error. */
 export const ERROR_MESSAGES: IParserErrorMessageProvider = {
 	buildMismatchTokenMessage: ({expected}) => getText(expected),
 	buildNotAllInputParsedMessage: () => 'an attribute, a semicolon or the end',
--- a/packages/language/src/explain.ts
+++ b/packages/language/src/explain.ts
@@ -1,4 +1,4 @@
-/** A statement that asks why a model is or is not loaded. */
+/** An `explain` statement: asks why a model is or is not loaded. */
 export type Explain = {
 	readonly kind: 'explain';
 	readonly model: string;
--- a/packages/language/src/listings.ts
+++ b/packages/language/src/listings.ts
@@ -1,4 +1,4 @@
-/** What can be listed. */
+/** Names of the listings that a `show` statement can query. */
 export const LISTINGS: readonly string[] = [
 	'teams',
 	'keys',
--- a/packages/language/src/new-syntax-error.ts
+++ b/packages/language/src/new-syntax-error.ts
@@ -5,7 +5,7 @@
 	readonly column: number;
 };
 
-/** An error that points at a column and says what was expected there. */
+/** Creates a syntax error that names its line and column, the input found there, and the input that was expected. */
 export const newSyntaxError = (position: Position, found: string, expected: string): ValeleadError => new ValeleadError(
 	`line ${position.line}, column ${position.column}: found ${found === '' ? 'the end' : `'${found}'`}, expected ${expected}`,
 	{code: RESULT_CODE.SyntaxError},
--- a/packages/language/src/parse-statements.ts
+++ b/packages/language/src/parse-statements.ts
@@ -51,7 +51,7 @@
 	return fields;
 };
 
-/** A value that the command schema refuses is reported where its statement begins. */
+/** Validates a command against its schema. Throws InvalidCommand with the position of the statement's first word if a value is invalid. */
 const checkCommand = (change: ParsedChange, command: Readonly<Record<string, unknown>>): Command => {
 	try {
 		const [checked] = decodeCommands(JSON.stringify([command]));
@@ -75,8 +75,9 @@
 };
 
 /**
- * Parses statements separated by semicolons. Throws a numbered error with line, column and what was expected.
- * Statements that create a key without naming its hash get a new one.
+ * Parses statements separated by semicolons. Throws a ValeleadError with a result code; the message of a syntax error names the line, the column
+ * and the expected input.
+ * @param newHash - Generates the hash for statements that create a key or an operator without one.
  */
 export const parseStatements = (text: string, newHash?: () => string): Statement[] => {
 	const {tokens, errors} = LEXER.tokenize(text);
--- a/packages/language/src/parsed-word.ts
+++ b/packages/language/src/parsed-word.ts
@@ -1,8 +1,8 @@
-/** A word of a statement and where it stands. */
+/** A word of a statement, with its position in the text. */
 export type ParsedWord = {
 	readonly text: string;
-	/** From 1. */
+	/** Column, counted from 1. */
 	readonly column: number;
-	/** From 1. */
+	/** Line, counted from 1. */
 	readonly line: number;
 };
--- a/packages/language/src/row.ts
+++ b/packages/language/src/row.ts
@@ -1,2 +1,2 @@
-/** One row of a listing. */
+/** A row of a listing: field values by field name. */
 export type Row = Readonly<Record<string, string | number | boolean>>;
--- a/packages/language/src/rows.ts
+++ b/packages/language/src/rows.ts
@@ -1,4 +1,4 @@
-// Listings without the parser, for processes that parse nothing.
+// Entry point without the parser, for processes that filter listings but parse no statements.
 export {selectRows} from './select-rows.js';
 export type {Statement} from './statement.js';
 export type {Show} from './show.js';
--- a/packages/language/src/select-rows.ts
+++ b/packages/language/src/select-rows.ts
@@ -68,7 +68,7 @@
 	return 0;
 };
 
-/** The rows that a show statement asks for, in its order. */
+/** Filters, sorts and limits rows as a `show` statement requests. Throws UnknownField if the rows do not have a field that it names. */
 export const selectRows = (rows: readonly Row[], show: Show): Row[] => {
 	for (const {field} of [...show.conditions, ...show.order]) {
 		checkField(rows, field);
--- a/packages/language/src/show.ts
+++ b/packages/language/src/show.ts
@@ -1,7 +1,7 @@
 import type {Condition} from './condition.js';
 import type {SortKey} from './sort-key.js';
 
-/** A statement that lists what is in force. */
+/** A `show` statement: lists the current configuration or state, filtered, sorted and limited. */
 export type Show = {
 	readonly kind: 'show';
 	readonly listing: string;
--- a/packages/language/src/sort-key.ts
+++ b/packages/language/src/sort-key.ts
@@ -1,4 +1,4 @@
-/** A field that a listing is ordered by. */
+/** A field and direction in the `order by` clause of a `show` statement. */
 export type SortKey = {
 	readonly field: string;
 	readonly isDescending: boolean;
--- a/packages/language/src/statement-kind.ts
+++ b/packages/language/src/statement-kind.ts
@@ -1,15 +1,15 @@
-/** A kind of change: what it says, what it takes, and the command that it becomes. */
+/** A type of statement that changes the configuration: its verb, its object, its attributes, and its conversion into a command. */
 export type StatementKind = {
 	readonly verb: string;
 	readonly object: string;
-	/** The object that the named one belongs to, empty where it stands alone. */
+	/** Type of the object that the changed object belongs to, such as `model` for adapters; empty if it belongs to none. */
 	readonly owner: string;
 	readonly attributes: readonly string[];
-	/** The command without checks of its values; the command schema checks them. */
+	/** Creates the command without validating its values; the command schema validates them afterwards. */
 	readonly perform: (words: StatementWords) => Readonly<Record<string, unknown>>;
 };
 
-/** The words of a change after its attributes are parsed. */
+/** The names and command fields of a statement, after its attributes have been parsed. */
 type StatementWords = {
 	readonly name: string;
 	readonly owner: string;
--- a/packages/language/src/statement-kinds.ts
+++ b/packages/language/src/statement-kinds.ts
@@ -35,7 +35,7 @@
 import {undrainVm} from './statements/undrain-vm.js';
 import type {StatementKind} from './statement-kind.js';
 
-/** Every statement that changes something. */
+/** All types of statements that change the configuration. */
 export const STATEMENT_KINDS: readonly StatementKind[] = [
 	alterAdapter,
 	alterClass,
--- a/packages/language/src/statement-parser.ts
+++ b/packages/language/src/statement-parser.ts
@@ -9,7 +9,7 @@
 import type {Show} from './show.js';
 import type {SortKey} from './sort-key.js';
 
-/** A listing whose name is not yet checked. */
+/** A `show` statement before its listing name is validated. */
 type ParsedShow = Show & {readonly listingWord: ParsedWord};
 
 type Parsed = ParsedChange | ParsedShow | Explain;
@@ -20,7 +20,7 @@
 	line: token.startLine ?? 1,
 });
 
-/** Recognizes the shape of statements. Which attributes a statement takes is checked by its own file. */
+/** Grammar of the operator language. The attributes that each statement accepts are defined in `statements/` and checked after parsing. */
 export class StatementParser extends EmbeddedActionsParser {
 	readonly statements = this.RULE('statements', (): Parsed[] => {
 		const parsed: Parsed[] = [];
@@ -128,7 +128,7 @@
 		};
 	});
 
-	/** A keyword is also a word, so the listing statements are tried first. */
+	/** Keywords are also valid words, so `show` and `explain` are tried before the statements that begin with any word. */
 	readonly #statement = this.RULE('statement', (): Parsed => this.OR<Parsed>({
 		DEF: [
 			{ALT: (): Parsed => this.SUBRULE(this.#show)},
--- a/packages/language/src/statement.ts
+++ b/packages/language/src/statement.ts
@@ -2,7 +2,7 @@
 import type {Explain} from './explain.js';
 import type {Show} from './show.js';
 
-/** A typed statement of the operator language. */
+/** A parsed and validated statement of the operator language. */
 export type Statement =
 	| Show
 	| Explain
--- a/packages/language/src/statements/alter-adapter.ts
+++ b/packages/language/src/statements/alter-adapter.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter adapter` of a model. */
+/** The `alter adapter` statement: changes an adapter of a model. */
 export const alterAdapter: StatementKind = {
 	verb: 'alter',
 	object: 'adapter',
--- a/packages/language/src/statements/alter-class.ts
+++ b/packages/language/src/statements/alter-class.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter class`. */
+/** The `alter class` statement: changes a class. */
 export const alterClass: StatementKind = {
 	verb: 'alter',
 	object: 'class',
--- a/packages/language/src/statements/alter-model.ts
+++ b/packages/language/src/statements/alter-model.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter model`. */
+/** The `alter model` statement: changes a model. */
 export const alterModel: StatementKind = {
 	verb: 'alter',
 	object: 'model',
--- a/packages/language/src/statements/alter-service.ts
+++ b/packages/language/src/statements/alter-service.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter service`. */
+/** The `alter service` statement: changes a service. */
 export const alterService: StatementKind = {
 	verb: 'alter',
 	object: 'service',
--- a/packages/language/src/statements/alter-team.ts
+++ b/packages/language/src/statements/alter-team.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter team`. */
+/** The `alter team` statement: changes a team. */
 export const alterTeam: StatementKind = {
 	verb: 'alter',
 	object: 'team',
--- a/packages/language/src/statements/create-adapter.ts
+++ b/packages/language/src/statements/create-adapter.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create adapter` of a model. */
+/** The `create adapter` statement: creates an adapter of a model. */
 export const createAdapter: StatementKind = {
 	verb: 'create',
 	object: 'adapter',
--- a/packages/language/src/statements/create-class.ts
+++ b/packages/language/src/statements/create-class.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create class`. */
+/** The `create class` statement: creates a class. */
 export const createClass: StatementKind = {
 	verb: 'create',
 	object: 'class',
--- a/packages/language/src/statements/create-key.ts
+++ b/packages/language/src/statements/create-key.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create key` of a team. */
+/** The `create key` statement: creates a key of a team. */
 export const createKey: StatementKind = {
 	verb: 'create',
 	object: 'key',
--- a/packages/language/src/statements/create-model.ts
+++ b/packages/language/src/statements/create-model.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create model`. */
+/** The `create model` statement: creates a model. */
 export const createModel: StatementKind = {
 	verb: 'create',
 	object: 'model',
--- a/packages/language/src/statements/create-operator.ts
+++ b/packages/language/src/statements/create-operator.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create operator`. */
+/** The `create operator` statement: creates an operator. */
 export const createOperator: StatementKind = {
 	verb: 'create',
 	object: 'operator',
--- a/packages/language/src/statements/create-service.ts
+++ b/packages/language/src/statements/create-service.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create service`. */
+/** The `create service` statement: creates a service. */
 export const createService: StatementKind = {
 	verb: 'create',
 	object: 'service',
--- a/packages/language/src/statements/create-team.ts
+++ b/packages/language/src/statements/create-team.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create team`. */
+/** The `create team` statement: creates a team. */
 export const createTeam: StatementKind = {
 	verb: 'create',
 	object: 'team',
--- a/packages/language/src/statements/create-version.ts
+++ b/packages/language/src/statements/create-version.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create version` of a model. */
+/** The `create version` statement: creates a version of a model. */
 export const createVersion: StatementKind = {
 	verb: 'create',
 	object: 'version',
--- a/packages/language/src/statements/drain-data-centre.ts
+++ b/packages/language/src/statements/drain-data-centre.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drain data centre`. */
+/** The `drain data centre` statement: stops sending new work to the VMs of a data centre. */
 export const drainDataCentre: StatementKind = {
 	verb: 'drain',
 	object: 'data centre',
--- a/packages/language/src/statements/drain-upstream.ts
+++ b/packages/language/src/statements/drain-upstream.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drain upstream`. */
+/** The `drain upstream` statement: stops sending new work to an upstream. */
 export const drainUpstream: StatementKind = {
 	verb: 'drain',
 	object: 'upstream',
--- a/packages/language/src/statements/drain-vm.ts
+++ b/packages/language/src/statements/drain-vm.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drain vm`. */
+/** The `drain vm` statement: stops sending new work to a VM. */
 export const drainVm: StatementKind = {
 	verb: 'drain',
 	object: 'vm',
--- a/packages/language/src/statements/drop-adapter.ts
+++ b/packages/language/src/statements/drop-adapter.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop adapter` of a model. */
+/** The `drop adapter` statement: deletes an adapter of a model. */
 export const dropAdapter: StatementKind = {
 	verb: 'drop',
 	object: 'adapter',
--- a/packages/language/src/statements/drop-class.ts
+++ b/packages/language/src/statements/drop-class.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop class`. */
+/** The `drop class` statement: deletes a class. */
 export const dropClass: StatementKind = {
 	verb: 'drop',
 	object: 'class',
--- a/packages/language/src/statements/drop-key.ts
+++ b/packages/language/src/statements/drop-key.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop key` of a team. */
+/** The `drop key` statement: deletes a key of a team. */
 export const dropKey: StatementKind = {
 	verb: 'drop',
 	object: 'key',
--- a/packages/language/src/statements/drop-model.ts
+++ b/packages/language/src/statements/drop-model.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop model`. */
+/** The `drop model` statement: deletes a model. */
 export const dropModel: StatementKind = {
 	verb: 'drop',
 	object: 'model',
--- a/packages/language/src/statements/drop-operator.ts
+++ b/packages/language/src/statements/drop-operator.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop operator`. */
+/** The `drop operator` statement: deletes an operator. */
 export const dropOperator: StatementKind = {
 	verb: 'drop',
 	object: 'operator',
--- a/packages/language/src/statements/drop-service.ts
+++ b/packages/language/src/statements/drop-service.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop service`. */
+/** The `drop service` statement: deletes a service. */
 export const dropService: StatementKind = {
 	verb: 'drop',
 	object: 'service',
--- a/packages/language/src/statements/drop-team.ts
+++ b/packages/language/src/statements/drop-team.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop team`. */
+/** The `drop team` statement: deletes a team. */
 export const dropTeam: StatementKind = {
 	verb: 'drop',
 	object: 'team',
--- a/packages/language/src/statements/drop-version.ts
+++ b/packages/language/src/statements/drop-version.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop version` of a model. */
+/** The `drop version` statement: deletes a version of a model. */
 export const dropVersion: StatementKind = {
 	verb: 'drop',
 	object: 'version',
--- a/packages/language/src/statements/forget-vm.ts
+++ b/packages/language/src/statements/forget-vm.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `forget vm`. */
+/** The `forget vm` statement: declares that a VM will not return, which frees its grants. */
 export const forgetVm: StatementKind = {
 	verb: 'forget',
 	object: 'vm',
--- a/packages/language/src/statements/release-request.ts
+++ b/packages/language/src/statements/release-request.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `release request`. */
+/** The `release request` statement: releases a request from quarantine. */
 export const releaseRequest: StatementKind = {
 	verb: 'release',
 	object: 'request',
--- a/packages/language/src/statements/start-model.ts
+++ b/packages/language/src/statements/start-model.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `start model`. */
+/** The `start model` statement: accepts requests for a model again, after it was stopped. */
 export const startModel: StatementKind = {
 	verb: 'start',
 	object: 'model',
--- a/packages/language/src/statements/start-service.ts
+++ b/packages/language/src/statements/start-service.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `start service`. */
+/** The `start service` statement: accepts requests for a service again, after it was stopped. */
 export const startService: StatementKind = {
 	verb: 'start',
 	object: 'service',
--- a/packages/language/src/statements/start-team.ts
+++ b/packages/language/src/statements/start-team.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `start team`. */
+/** The `start team` statement: accepts requests of a team again, after it was stopped. */
 export const startTeam: StatementKind = {
 	verb: 'start',
 	object: 'team',
--- a/packages/language/src/statements/stop-model.ts
+++ b/packages/language/src/statements/stop-model.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `stop model`. */
+/** The `stop model` statement: refuses new requests for a model. */
 export const stopModel: StatementKind = {
 	verb: 'stop',
 	object: 'model',
--- a/packages/language/src/statements/stop-service.ts
+++ b/packages/language/src/statements/stop-service.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `stop service`. */
+/** The `stop service` statement: refuses new requests for a service. */
 export const stopService: StatementKind = {
 	verb: 'stop',
 	object: 'service',
--- a/packages/language/src/statements/stop-team.ts
+++ b/packages/language/src/statements/stop-team.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `stop team`. */
+/** The `stop team` statement: refuses new requests of a team. */
 export const stopTeam: StatementKind = {
 	verb: 'stop',
 	object: 'team',
--- a/packages/language/src/statements/undrain-data-centre.ts
+++ b/packages/language/src/statements/undrain-data-centre.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `undrain data centre`. */
+/** The `undrain data centre` statement: allows new work for the VMs of a data centre again, after it was drained. */
 export const undrainDataCentre: StatementKind = {
 	verb: 'undrain',
 	object: 'data centre',
--- a/packages/language/src/statements/undrain-upstream.ts
+++ b/packages/language/src/statements/undrain-upstream.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `undrain upstream`. */
+/** The `undrain upstream` statement: allows new work for an upstream again, after it was drained. */
 export const undrainUpstream: StatementKind = {
 	verb: 'undrain',
 	object: 'upstream',
--- a/packages/language/src/statements/undrain-vm.ts
+++ b/packages/language/src/statements/undrain-vm.ts
@@ -1,6 +1,6 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `undrain vm`. */
+/** The `undrain vm` statement: allows new work for a VM again, after it was drained. */
 export const undrainVm: StatementKind = {
 	verb: 'undrain',
 	object: 'vm',
--- a/packages/language/src/tokens.ts
+++ b/packages/language/src/tokens.ts
@@ -1,6 +1,6 @@
 import {createToken, Lexer, type TokenType} from 'chevrotain';
 
-/** Names, numbers with units, ranges and all keywords. */
+/** Matches names, numbers with units, ranges and keywords. */
 const Word = createToken({name: 'Word', pattern: /[A-Za-z\d][\w.-]*/u});
 const WhiteSpace = createToken({
 	name: 'WhiteSpace', pattern: /\s+/u, group: Lexer.SKIPPED, line_breaks: true,
@@ -11,7 +11,7 @@
 const Comma = createToken({name: 'Comma', pattern: /,/u});
 const Operator = createToken({name: 'Operator', pattern: /!=|<=|>=|[=<>~]/u});
 
-/** A keyword is also a word, so that it can be a name. */
+/** Creates a keyword token. Keywords are also words, so that objects can be named like keywords. */
 const newKeyword = (name: string, pattern: RegExp): TokenType => createToken({
 	name, pattern, longer_alt: Word, categories: [Word],
 });
@@ -32,7 +32,7 @@
 	name: 'DataCentre', pattern: /data\s+centre/u, longer_alt: Word, categories: [Word], line_breaks: true,
 });
 
-/** The tokens of the operator language, in the order in which they are tried. */
+/** The tokens of the operator language, in the order in which the lexer tries them. */
 export const TOKENS = {
 	WhiteSpace,
 	Comment,
