--- a/packages/language/src/attribute-kinds.ts
+++ b/packages/language/src/attribute-parsers.ts
@@ -51,7 +51,7 @@
 type AttributeParser = (values: readonly ParsedWord[]) => Readonly<Record<string, unknown>>;
 
 /** Parsers for the values of all attributes of the operator language, by attribute name. */
-export const ATTRIBUTE_KINDS: Readonly<Record<string, AttributeParser>> = {
+export const ATTRIBUTE_PARSERS: Readonly<Record<string, AttributeParser>> = {
 	memory: ([value]) => ({memoryBytes: parseQuantity(value, BYTES, '16GiB')}),
 	replicas: ([value]) => parseRange(value),
 	class: ([value]) => ({class: value.text}),
--- a/packages/language/src/parse-statements.ts
+++ b/packages/language/src/parse-statements.ts
@@ -1,7 +1,7 @@
 import {RESULT_CODE, ValeleadError} from '@valelead/common';
 import {type Command, decodeCommands} from '@valelead/intent';
 import {Lexer} from 'chevrotain';
-import {ATTRIBUTE_KINDS} from './attribute-kinds.js';
+import {ATTRIBUTE_PARSERS} from './attribute-parsers.js';
 import {LISTINGS} from './listings.js';
 import {newSyntaxError} from './new-syntax-error.js';
 import {STATEMENT_KINDS} from './statement-kinds.js';
@@ -45,7 +45,7 @@
 			throw newSyntaxError(name, name.text, expected);
 		}
 
-		Object.assign(fields, ATTRIBUTE_KINDS[name.text](values));
+		Object.assign(fields, ATTRIBUTE_PARSERS[name.text](values));
 	}
 
 	return fields;
