--- a/packages/language/src/parse-statements.ts
+++ b/packages/language/src/parse-statements.ts
@@ -70,7 +70,7 @@
 		fields.hash ??= newHash();
 	}
 
-	const command = kind.perform({name: change.name.text, owner: change.ownerName?.text ?? '', fields});
+	const command = kind.newCommand({name: change.name.text, owner: change.ownerName?.text ?? '', fields});
 	return {kind: 'change', command: checkCommand(change, command)};
 };
 
--- a/packages/language/src/statement-kind.ts
+++ b/packages/language/src/statement-kind.ts
@@ -6,7 +6,7 @@
 	readonly owner: string;
 	readonly attributes: readonly string[];
 	/** Creates the command without validating its values; the command schema validates them afterwards. */
-	readonly perform: (words: StatementWords) => Readonly<Record<string, unknown>>;
+	readonly newCommand: (words: StatementWords) => Readonly<Record<string, unknown>>;
 };
 
 /** The names and command fields of a statement, after its attributes have been parsed. */
--- a/packages/language/src/statements/alter-adapter.ts
+++ b/packages/language/src/statements/alter-adapter.ts
@@ -6,7 +6,7 @@
 	object: 'adapter',
 	owner: 'model',
 	attributes: ['memory', 'replicas', 'teams'],
-	perform: ({name, owner, fields}) => ({
+	newCommand: ({name, owner, fields}) => ({
 		kind: 'alterAdapter', name, model: owner, ...fields,
 	}),
 };
--- a/packages/language/src/statements/alter-class.ts
+++ b/packages/language/src/statements/alter-class.ts
@@ -6,5 +6,5 @@
 	object: 'class',
 	owner: '',
 	attributes: ['deadline', 'weight', 'queue'],
-	perform: ({name, fields}) => ({kind: 'alterClass', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterClass', name, ...fields}),
 };
--- a/packages/language/src/statements/alter-model.ts
+++ b/packages/language/src/statements/alter-model.ts
@@ -6,5 +6,5 @@
 	object: 'model',
 	owner: '',
 	attributes: ['memory', 'replicas', 'class', 'teams', 'version'],
-	perform: ({name, fields}) => ({kind: 'alterModel', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterModel', name, ...fields}),
 };
--- a/packages/language/src/statements/alter-service.ts
+++ b/packages/language/src/statements/alter-service.ts
@@ -6,5 +6,5 @@
 	object: 'service',
 	owner: '',
 	attributes: ['class', 'teams', 'repeatable', 'not repeatable'],
-	perform: ({name, fields}) => ({kind: 'alterService', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterService', name, ...fields}),
 };
--- a/packages/language/src/statements/alter-team.ts
+++ b/packages/language/src/statements/alter-team.ts
@@ -6,5 +6,5 @@
 	object: 'team',
 	owner: '',
 	attributes: ['weight', 'limit', 'queue', 'classes'],
-	perform: ({name, fields}) => ({kind: 'alterTeam', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterTeam', name, ...fields}),
 };
--- a/packages/language/src/statements/create-adapter.ts
+++ b/packages/language/src/statements/create-adapter.ts
@@ -6,7 +6,7 @@
 	object: 'adapter',
 	owner: 'model',
 	attributes: ['memory', 'replicas', 'teams'],
-	perform: ({name, owner, fields}) => ({
+	newCommand: ({name, owner, fields}) => ({
 		kind: 'createAdapter', name, model: owner, ...fields,
 	}),
 };
--- a/packages/language/src/statements/create-class.ts
+++ b/packages/language/src/statements/create-class.ts
@@ -6,5 +6,5 @@
 	object: 'class',
 	owner: '',
 	attributes: ['deadline', 'weight', 'queue'],
-	perform: ({name, fields}) => ({kind: 'createClass', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createClass', name, ...fields}),
 };
--- a/packages/language/src/statements/create-key.ts
+++ b/packages/language/src/statements/create-key.ts
@@ -6,7 +6,7 @@
 	object: 'key',
 	owner: 'team',
 	attributes: ['hash'],
-	perform: ({name, owner, fields}) => ({
+	newCommand: ({name, owner, fields}) => ({
 		kind: 'createKey', name, team: owner, ...fields,
 	}),
 };
--- a/packages/language/src/statements/create-model.ts
+++ b/packages/language/src/statements/create-model.ts
@@ -6,5 +6,5 @@
 	object: 'model',
 	owner: '',
 	attributes: ['memory', 'replicas', 'class', 'teams', 'version'],
-	perform: ({name, fields}) => ({kind: 'createModel', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createModel', name, ...fields}),
 };
--- a/packages/language/src/statements/create-operator.ts
+++ b/packages/language/src/statements/create-operator.ts
@@ -6,7 +6,7 @@
 	object: 'operator',
 	owner: '',
 	attributes: ['hash', 'read only'],
-	perform: ({name, fields}) => ({
+	newCommand: ({name, fields}) => ({
 		kind: 'createOperator', name, canWrite: true, ...fields,
 	}),
 };
--- a/packages/language/src/statements/create-service.ts
+++ b/packages/language/src/statements/create-service.ts
@@ -6,5 +6,5 @@
 	object: 'service',
 	owner: '',
 	attributes: ['class', 'teams', 'repeatable', 'not repeatable'],
-	perform: ({name, fields}) => ({kind: 'createService', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createService', name, ...fields}),
 };
--- a/packages/language/src/statements/create-team.ts
+++ b/packages/language/src/statements/create-team.ts
@@ -6,5 +6,5 @@
 	object: 'team',
 	owner: '',
 	attributes: ['weight', 'limit', 'queue', 'classes'],
-	perform: ({name, fields}) => ({kind: 'createTeam', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createTeam', name, ...fields}),
 };
--- a/packages/language/src/statements/create-version.ts
+++ b/packages/language/src/statements/create-version.ts
@@ -6,5 +6,5 @@
 	object: 'version',
 	owner: 'model',
 	attributes: [],
-	perform: ({name, owner}) => ({kind: 'createVersion', name, model: owner}),
+	newCommand: ({name, owner}) => ({kind: 'createVersion', name, model: owner}),
 };
--- a/packages/language/src/statements/drain-data-centre.ts
+++ b/packages/language/src/statements/drain-data-centre.ts
@@ -6,5 +6,5 @@
 	object: 'data centre',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'drain', target: 'dataCentre', name}),
+	newCommand: ({name}) => ({kind: 'drain', target: 'dataCentre', name}),
 };
--- a/packages/language/src/statements/drain-upstream.ts
+++ b/packages/language/src/statements/drain-upstream.ts
@@ -6,5 +6,5 @@
 	object: 'upstream',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'drain', target: 'upstream', name}),
+	newCommand: ({name}) => ({kind: 'drain', target: 'upstream', name}),
 };
--- a/packages/language/src/statements/drain-vm.ts
+++ b/packages/language/src/statements/drain-vm.ts
@@ -6,5 +6,5 @@
 	object: 'vm',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'drain', target: 'vm', name}),
+	newCommand: ({name}) => ({kind: 'drain', target: 'vm', name}),
 };
--- a/packages/language/src/statements/drop-adapter.ts
+++ b/packages/language/src/statements/drop-adapter.ts
@@ -6,5 +6,5 @@
 	object: 'adapter',
 	owner: 'model',
 	attributes: [],
-	perform: ({name, owner}) => ({kind: 'dropAdapter', name, model: owner}),
+	newCommand: ({name, owner}) => ({kind: 'dropAdapter', name, model: owner}),
 };
--- a/packages/language/src/statements/drop-class.ts
+++ b/packages/language/src/statements/drop-class.ts
@@ -6,5 +6,5 @@
 	object: 'class',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropClass', name}),
+	newCommand: ({name}) => ({kind: 'dropClass', name}),
 };
--- a/packages/language/src/statements/drop-key.ts
+++ b/packages/language/src/statements/drop-key.ts
@@ -6,5 +6,5 @@
 	object: 'key',
 	owner: 'team',
 	attributes: [],
-	perform: ({name, owner}) => ({kind: 'dropKey', name, team: owner}),
+	newCommand: ({name, owner}) => ({kind: 'dropKey', name, team: owner}),
 };
--- a/packages/language/src/statements/drop-model.ts
+++ b/packages/language/src/statements/drop-model.ts
@@ -6,5 +6,5 @@
 	object: 'model',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropModel', name}),
+	newCommand: ({name}) => ({kind: 'dropModel', name}),
 };
--- a/packages/language/src/statements/drop-operator.ts
+++ b/packages/language/src/statements/drop-operator.ts
@@ -6,5 +6,5 @@
 	object: 'operator',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropOperator', name}),
+	newCommand: ({name}) => ({kind: 'dropOperator', name}),
 };
--- a/packages/language/src/statements/drop-service.ts
+++ b/packages/language/src/statements/drop-service.ts
@@ -6,5 +6,5 @@
 	object: 'service',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropService', name}),
+	newCommand: ({name}) => ({kind: 'dropService', name}),
 };
--- a/packages/language/src/statements/drop-team.ts
+++ b/packages/language/src/statements/drop-team.ts
@@ -6,5 +6,5 @@
 	object: 'team',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropTeam', name}),
+	newCommand: ({name}) => ({kind: 'dropTeam', name}),
 };
--- a/packages/language/src/statements/drop-version.ts
+++ b/packages/language/src/statements/drop-version.ts
@@ -6,5 +6,5 @@
 	object: 'version',
 	owner: 'model',
 	attributes: [],
-	perform: ({name, owner}) => ({kind: 'dropVersion', name, model: owner}),
+	newCommand: ({name, owner}) => ({kind: 'dropVersion', name, model: owner}),
 };
--- a/packages/language/src/statements/forget-vm.ts
+++ b/packages/language/src/statements/forget-vm.ts
@@ -6,5 +6,5 @@
 	object: 'vm',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'forgetVm', name}),
+	newCommand: ({name}) => ({kind: 'forgetVm', name}),
 };
--- a/packages/language/src/statements/release-request.ts
+++ b/packages/language/src/statements/release-request.ts
@@ -6,5 +6,5 @@
 	object: 'request',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'releaseRequest', name}),
+	newCommand: ({name}) => ({kind: 'releaseRequest', name}),
 };
--- a/packages/language/src/statements/start-model.ts
+++ b/packages/language/src/statements/start-model.ts
@@ -6,5 +6,5 @@
 	object: 'model',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'start', target: 'model', name}),
+	newCommand: ({name}) => ({kind: 'start', target: 'model', name}),
 };
--- a/packages/language/src/statements/start-service.ts
+++ b/packages/language/src/statements/start-service.ts
@@ -6,5 +6,5 @@
 	object: 'service',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'start', target: 'service', name}),
+	newCommand: ({name}) => ({kind: 'start', target: 'service', name}),
 };
--- a/packages/language/src/statements/start-team.ts
+++ b/packages/language/src/statements/start-team.ts
@@ -6,5 +6,5 @@
 	object: 'team',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'start', target: 'team', name}),
+	newCommand: ({name}) => ({kind: 'start', target: 'team', name}),
 };
--- a/packages/language/src/statements/stop-model.ts
+++ b/packages/language/src/statements/stop-model.ts
@@ -6,5 +6,5 @@
 	object: 'model',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'stop', target: 'model', name}),
+	newCommand: ({name}) => ({kind: 'stop', target: 'model', name}),
 };
--- a/packages/language/src/statements/stop-service.ts
+++ b/packages/language/src/statements/stop-service.ts
@@ -6,5 +6,5 @@
 	object: 'service',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'stop', target: 'service', name}),
+	newCommand: ({name}) => ({kind: 'stop', target: 'service', name}),
 };
--- a/packages/language/src/statements/stop-team.ts
+++ b/packages/language/src/statements/stop-team.ts
@@ -6,5 +6,5 @@
 	object: 'team',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'stop', target: 'team', name}),
+	newCommand: ({name}) => ({kind: 'stop', target: 'team', name}),
 };
--- a/packages/language/src/statements/undrain-data-centre.ts
+++ b/packages/language/src/statements/undrain-data-centre.ts
@@ -6,5 +6,5 @@
 	object: 'data centre',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'undrain', target: 'dataCentre', name}),
+	newCommand: ({name}) => ({kind: 'undrain', target: 'dataCentre', name}),
 };
--- a/packages/language/src/statements/undrain-upstream.ts
+++ b/packages/language/src/statements/undrain-upstream.ts
@@ -6,5 +6,5 @@
 	object: 'upstream',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'undrain', target: 'upstream', name}),
+	newCommand: ({name}) => ({kind: 'undrain', target: 'upstream', name}),
 };
--- a/packages/language/src/statements/undrain-vm.ts
+++ b/packages/language/src/statements/undrain-vm.ts
@@ -6,5 +6,5 @@
 	object: 'vm',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'undrain', target: 'vm', name}),
+	newCommand: ({name}) => ({kind: 'undrain', target: 'vm', name}),
 };
