--- a/apps/valelead-cli/src/actions/apply.ts
+++ b/apps/valelead-cli/src/actions/apply.ts
@@ -13,7 +13,7 @@
 };
 
 /** For each kind of create command: the listing of its objects, the field that names their owner, and the command that changes an existing one. */
-const CREATIONS: Readonly<Record<string, {readonly listing: string; readonly owner: string; readonly alter: string | undefined}>> = {
+const CREATE_COMMANDS: Readonly<Record<string, {readonly listing: string; readonly owner: string; readonly alter: string | undefined}>> = {
 	createTeam: {listing: 'teams', owner: '', alter: 'alterTeam'},
 	createClass: {listing: 'classes', owner: '', alter: 'alterClass'},
 	createModel: {listing: 'models', owner: '', alter: 'alterModel'},
@@ -24,15 +24,15 @@
 	createOperator: {listing: 'operators', owner: '', alter: undefined},
 };
 
-const MAX_TRIES = 5;
+const MAX_ATTEMPTS = 5;
 
-type Planned = {
+type PlannedChange = {
 	readonly line: string;
 	readonly command: Command | undefined;
 };
 
-const plan = async (connection: Connection, command: Command): Promise<Planned> => {
-	const creation = CREATIONS[command.kind];
+const planChange = async (connection: Connection, command: Command): Promise<PlannedChange> => {
+	const creation = CREATE_COMMANDS[command.kind];
 	const fields = command as unknown as Readonly<Record<string, string>>;
 	const label = `${command.kind} ${fields.name ?? ''}`;
 	if (!creation) {
@@ -42,8 +42,8 @@
 	const {rows} = await connection.query({
 		kind: 'show', listing: creation.listing, conditions: [], order: [],
 	});
-	const isThere = rows.some(row => row.name === fields.name && (creation.owner === '' || row[creation.owner] === fields[creation.owner]));
-	if (!isThere) {
+	const isExisting = rows.some(row => row.name === fields.name && (creation.owner === '' || row[creation.owner] === fields[creation.owner]));
+	if (!isExisting) {
 		return {line: `+ ${label}`, command};
 	}
 
@@ -61,18 +61,18 @@
 	async perform({connection, print, printProgress}, {file, isDryRun}) {
 		const statements = parseStatements(readFileSync(file, 'utf8'));
 		const commands = statements.filter(statement => statement.kind === 'change').map(statement => statement.command);
-		for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+		for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
 			const {revision: expectedRevision} = await connection.query({
 				kind: 'show', listing: 'entries', conditions: [], order: [],
 			});
-			const planned: Planned[] = [];
+			const planned: PlannedChange[] = [];
 			for (const command of commands) {
-				planned.push(await plan(connection, command));
+				planned.push(await planChange(connection, command));
 			}
 
-			const due = planned.map(item => item.command).filter(command => command !== undefined);
+			const changes = planned.map(item => item.command).filter(command => command !== undefined);
 			try {
-				const revision = await connection.execute(due, {commandId: isDryRun ? '' : randomUUID(), isDryRun, ...(!isDryRun && {expectedRevision})});
+				const revision = await connection.execute(changes, {commandId: isDryRun ? '' : randomUUID(), isDryRun, ...(!isDryRun && {expectedRevision})});
 				print([...planned.map(item => item.line), isDryRun ? 'dry run, nothing changed' : `ok, revision ${revision}`].join('\n'));
 				if (!isDryRun) {
 					await waitUntilInForce(connection, revision, printProgress);
--- a/apps/valelead-cli/src/connection.ts
+++ b/apps/valelead-cli/src/connection.ts
@@ -47,7 +47,7 @@
 			...(options.expectedRevision !== undefined && {expectedRevision: options.expectedRevision}),
 		});
 		const reply = await this.#leader.call(Control.method.execute, request, this.#timeoutMs);
-		this.#check(reply.code, reply.message);
+		this.#throwOnError(reply.code, reply.message);
 		return reply.revision;
 	}
 
@@ -55,7 +55,7 @@
 	async query(statement: Show | Explain): Promise<QueryResult> {
 		const request = create(QueryRequestSchema, {operatorKey: this.#operatorKey, statement: JSON.stringify(statement)});
 		const reply = await this.#leader.call(Control.method.query, request, this.#timeoutMs);
-		this.#check(reply.code, reply.message);
+		this.#throwOnError(reply.code, reply.message);
 		return {rows: JSON.parse(reply.rows) as Row[], revision: reply.revision};
 	}
 
@@ -64,7 +64,7 @@
 		this.timers.stop();
 	}
 
-	#check(code: number, message: string): void {
+	#throwOnError(code: number, message: string): void {
 		if (code !== RESULT_CODE.Ok) {
 			throw new ValeleadError(message, {code: code as ResultCodeValue});
 		}
--- a/packages/protocol/src/channel.ts
+++ b/packages/protocol/src/channel.ts
@@ -12,13 +12,13 @@
 };
 
 const MAX_MESSAGE_BYTES = 64 * 1024 * 1024;
-const MAX_RECONNECT_MS = 1000;
+const MAX_RECONNECT_BACKOFF_MS = 1000;
 
 /**
  * Interval of keepalive pings, and the time without a reply after which a connection counts as lost, in milliseconds. A machine that loses power
  * does not close its connections; once the loss is detected, other engines are chosen for the models that it was to load.
  */
-const KEEPALIVE_MS = 1500;
+const KEEPALIVE_INTERVAL_MS = 1500;
 const KEEPALIVE_TIMEOUT_MS = 1000;
 
 const getPath = (method: AnyMethod): string => `/${method.parent.typeName}/${method.name}`;
@@ -37,8 +37,8 @@
 			'grpc.max_send_message_length': MAX_MESSAGE_BYTES,
 			'grpc.initial_reconnect_backoff_ms': 100,
 			'grpc.min_reconnect_backoff_ms': 100,
-			'grpc.max_reconnect_backoff_ms': MAX_RECONNECT_MS,
-			'grpc.keepalive_time_ms': KEEPALIVE_MS,
+			'grpc.max_reconnect_backoff_ms': MAX_RECONNECT_BACKOFF_MS,
+			'grpc.keepalive_time_ms': KEEPALIVE_INTERVAL_MS,
 			'grpc.keepalive_timeout_ms': KEEPALIVE_TIMEOUT_MS,
 			'grpc.enable_retries': 0,
 			'grpc.use_local_subchannel_pool': 1,
--- a/packages/protocol/src/leader-calls.ts
+++ b/packages/protocol/src/leader-calls.ts
@@ -5,30 +5,30 @@
 import type {ChannelPool} from './channel-pool.js';
 
 /** The fields that every reply of a voter has. */
-type ControlReply = {
+type VoterReply = {
 	readonly code: number;
 	readonly leaderAddress: string;
 };
 
-const RETRY_MS = 50;
+const RETRY_DELAY_MS = 50;
 
 /** A voter that does not reply within this time is skipped, as its process may be suspended. */
-const ATTEMPT_MS = 700;
+const ATTEMPT_TIMEOUT_MS = 700;
 
 /** Calls the current leader. Follows the leader address in a voter's reply, and tries the known voters in turn if none names a leader. */
 export class LeaderCalls {
 	readonly #pool: ChannelPool;
 	/** Addresses of voters in the settings. */
-	readonly #configured: readonly string[];
+	readonly #configuredAddresses: readonly string[];
 	#addresses: readonly string[];
 	readonly #timers: TimerService;
 	readonly #clock: Clock;
-	#next = 0;
-	#leader: string | undefined;
+	#nextIndex = 0;
+	#namedLeader: string | undefined;
 
 	constructor(pool: ChannelPool, addresses: readonly string[], timers: TimerService, clock: Clock = SYSTEM_CLOCK) {
 		this.#pool = pool;
-		this.#configured = addresses;
+		this.#configuredAddresses = addresses;
 		this.#addresses = addresses;
 		this.#timers = timers;
 		this.#clock = clock;
@@ -36,12 +36,12 @@
 
 	/** The address that the next call goes to. */
 	get address(): string {
-		return this.#leader ?? this.#addresses[this.#next % this.#addresses.length];
+		return this.#namedLeader ?? this.#addresses[this.#nextIndex % this.#addresses.length];
 	}
 
 	/** True if the next call goes to an address that a voter named as the leader, false if it goes to the next voter of the list. */
 	get isNamed(): boolean {
-		return this.#leader !== undefined;
+		return this.#namedLeader !== undefined;
 	}
 
 	/** The number of voter addresses that are tried in turn. */
@@ -55,15 +55,15 @@
 	 */
 	learn(addresses: readonly string[]): void {
 		if (addresses.length > 0) {
-			this.#addresses = [...new Set([...addresses, ...this.#configured])];
+			this.#addresses = [...new Set([...addresses, ...this.#configuredAddresses])];
 		}
 	}
 
 	/** Sets the leader that a voter named. An empty address means that the voter knows no leader; the next call then goes to the next voter. */
 	redirect(address: string): void {
-		this.#leader = address === '' ? undefined : address;
+		this.#namedLeader = address === '' ? undefined : address;
 		if (address === '') {
-			this.#next += 1;
+			this.#nextIndex += 1;
 		}
 	}
 
@@ -73,38 +73,38 @@
 			Output>,
 		request: MessageShape<Input>,
 		timeoutMs: number,
-	): Promise<MessageShape<Output> & ControlReply> {
+	): Promise<MessageShape<Output> & VoterReply> {
 		const endsAt = this.#clock.now() + timeoutMs;
 		while (this.#clock.now() < endsAt) {
-			const reply = await this.#try(method, request, endsAt - this.#clock.now());
+			const reply = await this.#attemptCall(method, request, endsAt - this.#clock.now());
 			if (reply && reply.code !== RESULT_CODE.NotLeader) {
 				return reply;
 			}
 
 			this.redirect(reply?.leaderAddress ?? '');
-			await this.#timers.wait(RETRY_MS);
+			await this.#timers.wait(RETRY_DELAY_MS);
 		}
 
 		throw new ValeleadError('No leader answered in time', {code: RESULT_CODE.NoQuorum});
 	}
 
-	async #try<Input extends DescMessage, Output extends DescMessage>(
+	async #attemptCall<Input extends DescMessage, Output extends DescMessage>(
 		method: DescMethodUnary<Input,
 			Output>,
 		request: MessageShape<Input>,
 		timeoutMs: number,
-	): Promise<(MessageShape<Output> & ControlReply) | undefined> {
-		const attemptMs = Math.min(timeoutMs, ATTEMPT_MS);
+	): Promise<(MessageShape<Output> & VoterReply) | undefined> {
+		const attemptMs = Math.min(timeoutMs, ATTEMPT_TIMEOUT_MS);
 		try {
 			// The gRPC library measures its deadline by the wall clock, which may be set forward or back; this timer uses the monotonic clock.
-			const answer = this.#pool.get(this.address).unary(method, request, attemptMs) as Promise<MessageShape<Output> & ControlReply>;
-			return await Promise.race([answer, this.#waitInVain(attemptMs)]);
+			const reply = this.#pool.get(this.address).unary(method, request, attemptMs) as Promise<MessageShape<Output> & VoterReply>;
+			return await Promise.race([reply, this.#waitForTimeout(attemptMs)]);
 		} catch {
 			return undefined;
 		}
 	}
 
-	async #waitInVain(attemptMs: number): Promise<undefined> {
+	async #waitForTimeout(attemptMs: number): Promise<undefined> {
 		await this.#timers.wait(attemptMs);
 		return undefined;
 	}
