--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -6,7 +6,7 @@
 import {WeightCopies} from './weight-copies.js';
 import type {WeightStore} from './weight-store.js';
 
-type EngineParts = {
+type EngineOptions = {
 	readonly clock: VirtualClock;
 	readonly store: WeightStore;
 	readonly terms: EngineTerms;
@@ -39,37 +39,37 @@
 		memory: 0, disk: 0, store: 0, busyMs: 0,
 	};
 
-	readonly #parts: EngineParts;
+	readonly #options: EngineOptions;
 	readonly #batch: EngineBatch;
 	/** The adapters of each loaded model. */
-	readonly #held = new Map<string, Set<string>>();
+	readonly #loadedModels = new Map<string, Set<string>>();
 	readonly #memoryCopies: WeightCopies;
 	readonly #diskCopies: WeightCopies;
-	#order: ModelOrder | undefined;
-	#orderedAt = 0;
+	#currentOrder: ModelOrder | undefined;
+	#orderStartedAt = 0;
 	#sequence = 0;
 	#isUp = true;
 	#isBroken = false;
 
-	constructor(parts: EngineParts) {
-		this.#parts = parts;
-		this.#memoryCopies = new WeightCopies(parts.terms.hostMemory);
-		this.#diskCopies = new WeightCopies(parts.terms.diskMemory);
+	constructor(options: EngineOptions) {
+		this.#options = options;
+		this.#memoryCopies = new WeightCopies(options.terms.hostMemory);
+		this.#diskCopies = new WeightCopies(options.terms.diskMemory);
 		this.#batch = new EngineBatch({
-			clock: parts.clock,
-			terms: parts.terms,
-			getPace: model => (parts.models.get(model)?.pace ?? 1) * parts.slowness,
-			onLeft: () => {
+			clock: options.clock,
+			terms: options.terms,
+			getStepFactor: model => (options.models.get(model)?.pace ?? 1) * options.slowness,
+			onRequestEnd: () => {
 				this.#continueUnload();
 			},
 			onCrash: () => {
-				this.#break();
+				this.#handleCrash();
 			},
 		});
 	}
 
 	get held(): ReadonlyMap<string, ReadonlySet<string>> {
-		return this.#held;
+		return this.#loadedModels;
 	}
 
 	get memoryCopies(): string[] {
@@ -81,7 +81,7 @@
 	}
 
 	get isBusy(): boolean {
-		return this.#order !== undefined;
+		return this.#currentOrder !== undefined;
 	}
 
 	get isUp(): boolean {
@@ -107,63 +107,63 @@
 
 	/** Loads a model without delay, with copies in host memory and on disk. Used to set up an installation at its start. */
 	place(model: string): void {
-		this.#held.set(model, new Set());
+		this.#loadedModels.set(model, new Set());
 		this.keepCopy(model);
 	}
 
 	/** Stores a copy of a model in host memory and on disk. */
 	keepCopy(model: string): void {
-		this.#memoryCopies.use(model, this.#parts.models.get(model)!.weightMemory);
+		this.#memoryCopies.use(model, this.#options.models.get(model)!.weightMemory);
 		this.keepDiskCopy(model);
 	}
 
 	/** Stores a copy of a model on disk only. */
 	keepDiskCopy(model: string): void {
-		this.#diskCopies.use(model, this.#parts.models.get(model)!.weightMemory);
+		this.#diskCopies.use(model, this.#options.models.get(model)!.weightMemory);
 	}
 
 	/** Stops the engine permanently. Its unfinished requests receive no further callbacks. */
 	crash(): void {
 		this.#isUp = false;
-		this.#held.clear();
+		this.#loadedModels.clear();
 	}
 
 	/** Starts or queues a request. Rejects it if the engine is down, the model or adapter is not loaded, or the queue is full. */
-	send(run: EngineRun): void {
-		const isGoing = this.#order?.kind === 'unload' && this.#order.model === run.model;
-		const adapters = this.#held.get(run.model);
-		const isHeld = adapters !== undefined && (run.adapter === '' || adapters.has(run.adapter));
-		if (!this.#isUp || !isHeld || isGoing) {
-			run.onReject(true);
+	send(request: EngineRun): void {
+		const isUnloading = this.#currentOrder?.kind === 'unload' && this.#currentOrder.model === request.model;
+		const adapters = this.#loadedModels.get(request.model);
+		const isLoaded = adapters !== undefined && (request.adapter === '' || adapters.has(request.adapter));
+		if (!this.#isUp || !isLoaded || isUnloading) {
+			request.onReject(true);
 			return;
 		}
 
-		if (!this.#batch.take(run)) {
-			run.onReject(false);
+		if (!this.#batch.enqueue(request)) {
+			request.onReject(false);
 		}
 	}
 
 	/** Cancels a request whose caller has disconnected. */
-	drop(run: EngineRun): void {
-		this.#batch.drop(run);
+	drop(request: EngineRun): void {
+		this.#batch.cancel(request);
 	}
 
 	/**
 	 * Starts to load or unload a model. Returns false if another order is in progress or if the engine's order sequence number is not `expected`.
 	 */
 	order(order: ModelOrder, expected: number): boolean {
-		if (!this.#isReady(expected)) {
+		if (!this.#canStartOrder(expected)) {
 			return false;
 		}
 
 		this.#sequence += 1;
-		this.#order = order;
-		this.#orderedAt = this.#parts.clock.now();
+		this.#currentOrder = order;
+		this.#orderStartedAt = this.#options.clock.now();
 		if (order.kind === 'unload') {
-			this.#batch.forget(order.model);
+			this.#batch.removeModel(order.model);
 			this.#continueUnload();
 		} else {
-			this.#load(order.model);
+			this.#startLoad(order.model);
 		}
 
 		return true;
@@ -174,8 +174,8 @@
 	 * number is not `expected`.
 	 */
 	orderAdapter(kind: 'load' | 'unload', model: string, adapter: string, expected: number): boolean {
-		const adapters = this.#held.get(model);
-		if (!adapters || !this.#isReady(expected)) {
+		const adapters = this.#loadedModels.get(model);
+		if (!adapters || !this.#canStartOrder(expected)) {
 			return false;
 		}
 
@@ -183,46 +183,46 @@
 		if (kind === 'unload') {
 			adapters.delete(adapter);
 		} else {
-			this.#parts.clock.after(this.#parts.models.get(model)!.adapterLoadMs, () => {
-				this.#held.get(model)?.add(adapter);
+			this.#options.clock.after(this.#options.models.get(model)!.adapterLoadMs, () => {
+				this.#loadedModels.get(model)?.add(adapter);
 			});
 		}
 
 		return true;
 	}
 
-	#break(): void {
+	#handleCrash(): void {
 		this.#isBroken = true;
 		this.crash();
-		this.#batch.breakAll();
-		this.#parts.onCrash?.();
+		this.#batch.abortAll();
+		this.#options.onCrash?.();
 	}
 
-	#isReady(expected: number): boolean {
-		return this.#isUp && this.#order === undefined && expected === this.#sequence;
+	#canStartOrder(expected: number): boolean {
+		return this.#isUp && this.#currentOrder === undefined && expected === this.#sequence;
 	}
 
 	/** Continues an unload once the model has no running requests. */
 	#continueUnload(): void {
-		const order = this.#order;
-		if (order?.kind !== 'unload' || this.#batch.getRunning(order.model) > 0) {
+		const order = this.#currentOrder;
+		if (order?.kind !== 'unload' || this.#batch.getRunningCount(order.model) > 0) {
 			return;
 		}
 
-		this.#parts.clock.after(this.#parts.terms.unloadMs, () => {
-			if (this.#order === order) {
-				this.#held.delete(order.model);
+		this.#options.clock.after(this.#options.terms.unloadMs, () => {
+			if (this.#currentOrder === order) {
+				this.#loadedModels.delete(order.model);
 				this.#endOrder();
 			}
 		});
 	}
 
-	#load(model: string): void {
-		const terms = this.#parts.models.get(model)!;
-		const pressure = 1 + (this.#batch.activeCount / this.#parts.terms.slots);
+	#startLoad(model: string): void {
+		const terms = this.#options.models.get(model)!;
+		const pressure = 1 + (this.#batch.activeCount / this.#options.terms.slots);
 		const end = (): void => {
 			if (this.#isUp) {
-				this.#held.set(model, new Set());
+				this.#loadedModels.set(model, new Set());
 				this.keepCopy(model);
 				this.#endOrder();
 			}
@@ -230,19 +230,19 @@
 
 		if (this.#memoryCopies.has(model)) {
 			this.counts.memory += 1;
-			this.#parts.clock.after(terms.memoryLoadMs * pressure, end);
+			this.#options.clock.after(terms.memoryLoadMs * pressure, end);
 		} else if (this.#diskCopies.has(model)) {
 			this.counts.disk += 1;
-			this.#parts.clock.after(terms.diskLoadMs * pressure, end);
+			this.#options.clock.after(terms.diskLoadMs * pressure, end);
 		} else {
 			this.counts.store += 1;
-			this.#parts.store.fetch(terms.storeLoadMs * pressure, end);
+			this.#options.store.fetch(terms.storeLoadMs * pressure, end);
 		}
 	}
 
 	#endOrder(): void {
-		this.counts.busyMs += this.#parts.clock.now() - this.#orderedAt;
-		this.#order = undefined;
-		this.#parts.onOrderEnd?.();
+		this.counts.busyMs += this.#options.clock.now() - this.#orderStartedAt;
+		this.#currentOrder = undefined;
+		this.#options.onOrderEnd?.();
 	}
 }
--- a/packages/emulator/src/engine-batch.ts
+++ b/packages/emulator/src/engine-batch.ts
@@ -2,18 +2,18 @@
 import type {EngineTerms} from './engine-terms.js';
 import type {VirtualClock} from './virtual-clock.js';
 
-type ActiveRun = {
-	readonly run: EngineRun;
-	unreadTokens: number;
-	madeTokens: number;
+type ActiveRequest = {
+	readonly request: EngineRun;
+	unreadPromptTokens: number;
+	generatedTokens: number;
 };
 
-type BatchParts = {
+type BatchOptions = {
 	readonly clock: VirtualClock;
 	readonly terms: EngineTerms;
-	readonly getPace: (model: string) => number;
+	readonly getStepFactor: (model: string) => number;
 	/** Called when a request has ended or was cancelled. */
-	readonly onLeft: () => void;
+	readonly onRequestEnd: () => void;
 	/** Called when a request crashes the engine. */
 	readonly onCrash: () => void;
 };
@@ -23,19 +23,19 @@
 
 /** Emulates continuous batching: each step reads a chunk of the waiting prompts and generates one token for each request whose prompt is read. */
 export class EngineBatch {
-	readonly #parts: BatchParts;
-	readonly #active: ActiveRun[] = [];
+	readonly #options: BatchOptions;
+	readonly #running: ActiveRequest[] = [];
 	readonly #queued: EngineRun[] = [];
 	/** Models whose shared prompt prefix is in the cache. */
-	readonly #cached = new Set<string>();
+	readonly #cachedPrefixes = new Set<string>();
 	#isStepping = false;
 
-	constructor(parts: BatchParts) {
-		this.#parts = parts;
+	constructor(options: BatchOptions) {
+		this.#options = options;
 	}
 
 	get activeCount(): number {
-		return this.#active.length;
+		return this.#running.length;
 	}
 
 	get queuedCount(): number {
@@ -43,15 +43,15 @@
 	}
 
 	/** Returns the number of running requests of a model. */
-	getRunning(model: string): number {
-		return this.#active.filter(({run}) => run.model === model).length;
+	getRunningCount(model: string): number {
+		return this.#running.filter(({request}) => request.model === model).length;
 	}
 
 	/** Starts or queues a request. Returns false if the queue is full. */
-	take(run: EngineRun): boolean {
-		const {slots, maxQueued} = this.#parts.terms;
-		if (this.#active.length < slots) {
-			this.#admit(run);
+	enqueue(request: EngineRun): boolean {
+		const {slots, maxQueued} = this.#options.terms;
+		if (this.#running.length < slots) {
+			this.#admit(request);
 			return true;
 		}
 
@@ -59,52 +59,52 @@
 			return false;
 		}
 
-		this.#queued.push(run);
+		this.#queued.push(request);
 		return true;
 	}
 
 	/** Cancels a running or queued request whose caller has disconnected. */
-	drop(run: EngineRun): void {
-		const queuedAt = this.#queued.indexOf(run);
+	cancel(request: EngineRun): void {
+		const queuedAt = this.#queued.indexOf(request);
 		if (queuedAt !== -1) {
 			this.#queued.splice(queuedAt, 1);
 		}
 
-		const activeAt = this.#active.findIndex(active => active.run === run);
+		const activeAt = this.#running.findIndex(active => active.request === request);
 		if (activeAt !== -1) {
-			this.#active.splice(activeAt, 1);
-			this.#parts.onLeft();
-			this.#fill();
+			this.#running.splice(activeAt, 1);
+			this.#options.onRequestEnd();
+			this.#admitQueued();
 		}
 	}
 
 	/** Aborts all running and queued requests, as when the engine crashes. */
-	breakAll(): void {
-		const runs = [...this.#active.map(({run}) => run), ...this.#queued];
-		this.#active.length = 0;
+	abortAll(): void {
+		const requests = [...this.#running.map(({request}) => request), ...this.#queued];
+		this.#running.length = 0;
 		this.#queued.length = 0;
-		for (const run of runs) {
-			run.onBroken();
+		for (const request of requests) {
+			request.onBroken();
 		}
 	}
 
 	/** Rejects the queued requests of a model that is being unloaded, and evicts its prompt prefix from the cache. */
-	forget(model: string): void {
-		this.#cached.delete(model);
-		for (const run of this.#queued.filter(queued => queued.model === model)) {
-			this.#queued.splice(this.#queued.indexOf(run), 1);
-			run.onReject(true);
+	removeModel(model: string): void {
+		this.#cachedPrefixes.delete(model);
+		for (const request of this.#queued.filter(queued => queued.model === model)) {
+			this.#queued.splice(this.#queued.indexOf(request), 1);
+			request.onReject(true);
 		}
 	}
 
-	#admit(run: EngineRun): void {
-		const sharedTokens = this.#cached.has(run.model) ? 0 : run.sharedTokens;
-		this.#active.push({run, unreadTokens: run.ownTokens + sharedTokens, madeTokens: 0});
+	#admit(request: EngineRun): void {
+		const sharedTokens = this.#cachedPrefixes.has(request.model) ? 0 : request.sharedTokens;
+		this.#running.push({request, unreadPromptTokens: request.ownTokens + sharedTokens, generatedTokens: 0});
 		this.#step();
 	}
 
-	#fill(): void {
-		while (this.#active.length < this.#parts.terms.slots && this.#queued.length > 0) {
+	#admitQueued(): void {
+		while (this.#running.length < this.#options.terms.slots && this.#queued.length > 0) {
 			const [next] = this.#queued.toSorted((left, right) => left.priority - right.priority);
 			this.#queued.splice(this.#queued.indexOf(next), 1);
 			this.#admit(next);
@@ -112,74 +112,74 @@
 	}
 
 	#step(): void {
-		if (this.#isStepping || this.#active.length === 0) {
+		if (this.#isStepping || this.#running.length === 0) {
 			return;
 		}
 
 		this.#isStepping = true;
-		const decoding = this.#active.filter(({unreadTokens}) => unreadTokens === 0);
-		const readMs = this.#read();
-		this.#parts.clock.after(readMs + this.#getDecodeMs(decoding), () => {
+		const decoding = this.#running.filter(({unreadPromptTokens}) => unreadPromptTokens === 0);
+		const readMs = this.#readPrompts();
+		this.#options.clock.after(readMs + this.#getDecodeMs(decoding), () => {
 			this.#isStepping = false;
-			this.#make(decoding);
-			this.#fill();
+			this.#generateTokens(decoding);
+			this.#admitQueued();
 			this.#step();
 		});
 	}
 
 	/** Reads the next chunk of prompt tokens and returns the time that this takes, in milliseconds. */
-	#read(): number {
-		const {chunkTokens, promptTokensPerMs} = this.#parts.terms;
+	#readPrompts(): number {
+		const {chunkTokens, promptTokensPerMs} = this.#options.terms;
 		let budget = chunkTokens;
 		let readMs = 0;
-		for (const active of this.#active) {
-			const tokens = Math.min(budget, active.unreadTokens);
-			active.unreadTokens -= tokens;
+		for (const active of this.#running) {
+			const tokens = Math.min(budget, active.unreadPromptTokens);
+			active.unreadPromptTokens -= tokens;
 			budget -= tokens;
-			readMs += tokens / promptTokensPerMs * this.#parts.getPace(active.run.model);
-			if (tokens > 0 && active.unreadTokens === 0) {
-				this.#cached.add(active.run.model);
+			readMs += tokens / promptTokensPerMs * this.#options.getStepFactor(active.request.model);
+			if (tokens > 0 && active.unreadPromptTokens === 0) {
+				this.#cachedPrefixes.add(active.request.model);
 			}
 		}
 
 		return readMs;
 	}
 
-	#getDecodeMs(decoding: readonly ActiveRun[]): number {
-		const {stepMs, stepMsPerRun} = this.#parts.terms;
+	#getDecodeMs(decoding: readonly ActiveRequest[]): number {
+		const {stepMs, stepMsPerRun} = this.#options.terms;
 		if (decoding.length === 0) {
 			return 0;
 		}
 
-		const pace = decoding.reduce((sum, {run}) => sum + this.#parts.getPace(run.model), 0) / decoding.length;
-		return (stepMs + (stepMsPerRun * decoding.length)) * pace;
+		const stepFactor = decoding.reduce((sum, {request}) => sum + this.#options.getStepFactor(request.model), 0) / decoding.length;
+		return (stepMs + (stepMsPerRun * decoding.length)) * stepFactor;
 	}
 
-	#make(decoding: readonly ActiveRun[]): void {
+	#generateTokens(decoding: readonly ActiveRequest[]): void {
 		for (const active of decoding) {
-			if (!this.#active.includes(active)) {
+			if (!this.#running.includes(active)) {
 				continue;
 			}
 
-			active.madeTokens += 1;
-			if (active.madeTokens === 1) {
-				active.run.onBegin();
+			active.generatedTokens += 1;
+			if (active.generatedTokens === 1) {
+				active.request.onBegin();
 			}
 
-			if (active.run.isCrashing && active.madeTokens === Math.min(CRASH_TOKEN, active.run.newTokens)) {
-				this.#parts.onCrash();
+			if (active.request.isCrashing && active.generatedTokens === Math.min(CRASH_TOKEN, active.request.newTokens)) {
+				this.#options.onCrash();
 				return;
 			}
 
-			const isLast = active.madeTokens >= active.run.newTokens;
-			if (isLast || active.madeTokens % this.#parts.terms.tokensPerEvent === 0) {
-				active.run.onEvent();
+			const isLast = active.generatedTokens >= active.request.newTokens;
+			if (isLast || active.generatedTokens % this.#options.terms.tokensPerEvent === 0) {
+				active.request.onEvent();
 			}
 
 			if (isLast) {
-				this.#active.splice(this.#active.indexOf(active), 1);
-				active.run.onEnd();
-				this.#parts.onLeft();
+				this.#running.splice(this.#running.indexOf(active), 1);
+				active.request.onEnd();
+				this.#options.onRequestEnd();
 			}
 		}
 	}
--- a/packages/emulator/src/virtual-clock.ts
+++ b/packages/emulator/src/virtual-clock.ts
@@ -1,13 +1,13 @@
 import type {Clock, Wakeups} from '@valelead/common';
 
-type Scheduled = {
+type Timer = {
 	readonly dueAt: number;
 	readonly order: number;
 	readonly run: () => void;
 	isCancelled: boolean;
 };
 
-const isBefore = (left: Scheduled, right: Scheduled): boolean => left.dueAt === right.dueAt ? left.order < right.order : left.dueAt < right.dueAt;
+const isBefore = (left: Timer, right: Timer): boolean => left.dueAt === right.dueAt ? left.order < right.order : left.dueAt < right.dueAt;
 
 /** Resolves after the continuations of all promises that are already settled have run. */
 const flushPromises = async (): Promise<void> => new Promise(resolve => {
@@ -17,7 +17,7 @@
 /** A simulated clock, in milliseconds. Time advances only when `runUntil` runs the scheduled callbacks, from one due time to the next. */
 export class VirtualClock implements Clock, Wakeups {
 	/** Binary min-heap of the scheduled callbacks, ordered by due time and then by order of scheduling. */
-	readonly #heap: Scheduled[] = [];
+	readonly #heap: Timer[] = [];
 	#now = 0;
 	#order = 0;
 
@@ -25,29 +25,29 @@
 	readonly wallNow = (): number => this.#now;
 
 	/** Schedules a callback after a delay. Callbacks that are due at the same time run in the order in which they were scheduled. */
-	after(delayMs: number, run: () => void): Scheduled {
+	after(delayMs: number, run: () => void): Timer {
 		this.#order += 1;
 		const scheduled = {
 			dueAt: this.#now + Math.max(0, delayMs), order: this.#order, run, isCancelled: false,
 		};
 		this.#heap.push(scheduled);
-		this.#rise(this.#heap.length - 1);
+		this.#siftUp(this.#heap.length - 1);
 		return scheduled;
 	}
 
-	set(run: () => void, delayMs: number): Scheduled {
+	set(run: () => void, delayMs: number): Timer {
 		return this.after(delayMs, run);
 	}
 
 	clear(handle: unknown): void {
 		if (handle) {
-			(handle as Scheduled).isCancelled = true;
+			(handle as Timer).isCancelled = true;
 		}
 	}
 
 	/** Runs all callbacks that are due up to and including a time, and then sets the clock to that time. */
 	async runUntil(endsAt: number): Promise<void> {
-		for (let next = this.#take(endsAt); next; next = this.#take(endsAt)) {
+		for (let next = this.#takeDue(endsAt); next; next = this.#takeDue(endsAt)) {
 			this.#now = next.dueAt;
 			if (!next.isCancelled) {
 				next.run();
@@ -58,7 +58,7 @@
 		this.#now = endsAt;
 	}
 
-	#take(endsAt: number): Scheduled | undefined {
+	#takeDue(endsAt: number): Timer | undefined {
 		const [first] = this.#heap;
 		if (!first || first.dueAt > endsAt) {
 			return undefined;
@@ -67,13 +67,13 @@
 		const last = this.#heap.pop()!;
 		if (this.#heap.length > 0) {
 			this.#heap[0] = last;
-			this.#sink();
+			this.#siftDown();
 		}
 
 		return first;
 	}
 
-	#rise(start: number): void {
+	#siftUp(start: number): void {
 		let index = start;
 		while (index > 0) {
 			const parent = Math.floor((index - 1) / 2);
@@ -86,7 +86,7 @@
 		}
 	}
 
-	#sink(): void {
+	#siftDown(): void {
 		let index = 0;
 		while (true) {
 			const left = (2 * index) + 1;
--- a/packages/emulator/src/weight-store.ts
+++ b/packages/emulator/src/weight-store.ts
@@ -4,7 +4,7 @@
 export class WeightStore {
 	readonly #clock: VirtualClock;
 	readonly #fullSpeedLoads: number;
-	#running = 0;
+	#activeLoads = 0;
 
 	/** @param fullSpeedLoads - Maximum number of concurrent loads that are not slowed down. */
 	constructor(clock: VirtualClock, fullSpeedLoads: number) {
@@ -14,9 +14,9 @@
 
 	/** Fetches weights. The number of concurrent loads at the start of the fetch determines its slowdown. */
 	fetch(loadMs: number, onEnd: () => void): void {
-		this.#running += 1;
-		this.#clock.after(loadMs * Math.max(1, this.#running / this.#fullSpeedLoads), () => {
-			this.#running -= 1;
+		this.#activeLoads += 1;
+		this.#clock.after(loadMs * Math.max(1, this.#activeLoads / this.#fullSpeedLoads), () => {
+			this.#activeLoads -= 1;
 			onEnd();
 		});
 	}
--- a/packages/language/src/attribute-parsers.ts
+++ b/packages/language/src/attribute-parsers.ts
@@ -1,11 +1,11 @@
 import {newSyntaxError} from './new-syntax-error.js';
 import type {ParsedWord} from './parsed-word.js';
 
-const BYTES: Readonly<Record<string, number>> = {
+const BYTES_PER_UNIT: Readonly<Record<string, number>> = {
 	B: 1, KiB: 2 ** 10, MiB: 2 ** 20, GiB: 2 ** 30, TiB: 2 ** 40,
 };
 
-const MILLISECONDS: Readonly<Record<string, number>> = {
+const MILLISECONDS_PER_UNIT: Readonly<Record<string, number>> = {
 	ms: 1, s: 1000, m: 60_000, h: 3_600_000,
 };
 
@@ -52,14 +52,14 @@
 
 /** Parsers for the values of all attributes of the operator language, by attribute name. */
 export const ATTRIBUTE_PARSERS: Readonly<Record<string, AttributeParser>> = {
-	memory: ([value]) => ({memoryBytes: parseQuantity(value, BYTES, '16GiB')}),
+	memory: ([value]) => ({memoryBytes: parseQuantity(value, BYTES_PER_UNIT, '16GiB')}),
 	replicas: ([value]) => parseRange(value),
 	class: ([value]) => ({class: value.text}),
 	teams: values => ({teams: values.map(value => value.text)}),
 	classes: values => ({classes: values.map(value => value.text)}),
 	version: ([value]) => ({version: value.text}),
 	weight: ([value]) => ({weight: parseNumber(value)}),
-	deadline: ([value]) => ({deadlineMs: parseQuantity(value, MILLISECONDS, '30s')}),
+	deadline: ([value]) => ({deadlineMs: parseQuantity(value, MILLISECONDS_PER_UNIT, '30s')}),
 	queue: ([value]) => ({maxWaiting: parseNumber(value)}),
 	limit: ([value]) => ({maxInProgress: parseNumber(value)}),
 	hash: ([value]) => ({hash: value.text}),
--- a/packages/language/src/parse-statements.ts
+++ b/packages/language/src/parse-statements.ts
@@ -14,16 +14,16 @@
 const LEXER = new Lexer(Object.values(TOKENS));
 const PARSER = new StatementParser();
 
-const getKind = (change: ParsedChange): StatementKind => {
-	const ofVerb = STATEMENT_KINDS.filter(kind => kind.verb === change.verb.text);
-	if (ofVerb.length === 0) {
+const getStatementKind = (change: ParsedChange): StatementKind => {
+	const kindsOfVerb = STATEMENT_KINDS.filter(kind => kind.verb === change.verb.text);
+	if (kindsOfVerb.length === 0) {
 		const verbs = [...new Set(STATEMENT_KINDS.map(kind => kind.verb))];
 		throw newSyntaxError(change.verb, change.verb.text, `one of ${[...verbs, 'show', 'explain'].join(', ')}`);
 	}
 
-	const kind = ofVerb.find(candidate => candidate.object === change.object.text);
+	const kind = kindsOfVerb.find(candidate => candidate.object === change.object.text);
 	if (!kind) {
-		throw newSyntaxError(change.object, change.object.text, `one of ${ofVerb.map(candidate => candidate.object).join(', ')}`);
+		throw newSyntaxError(change.object, change.object.text, `one of ${kindsOfVerb.map(candidate => candidate.object).join(', ')}`);
 	}
 
 	return kind;
@@ -63,7 +63,7 @@
 };
 
 const toStatement = (change: ParsedChange, newHash: (() => string) | undefined): Statement => {
-	const kind = getKind(change);
+	const kind = getStatementKind(change);
 	checkOwner(change, kind);
 	const fields = getFields(change, kind);
 	if (newHash && kind.attributes.includes('hash')) {
--- a/packages/language/src/select-rows.ts
+++ b/packages/language/src/select-rows.ts
@@ -14,11 +14,11 @@
 	return String(left).localeCompare(String(right));
 };
 
-const toValue = (text: string, like: Value): Value => typeof like === 'number' ? Number(text) : text;
+const parseValue = (text: string, reference: Value): Value => typeof reference === 'number' ? Number(text) : text;
 
 const isMatch = (row: Row, condition: Condition): boolean => {
 	const value = row[condition.field];
-	const difference = compareValues(value, toValue(condition.value, value));
+	const difference = compareValues(value, parseValue(condition.value, value));
 	switch (condition.operator) {
 		case '=': {
 			return difference === 0;
--- a/packages/language/src/statement-parser.ts
+++ b/packages/language/src/statement-parser.ts
@@ -14,7 +14,7 @@
 
 type Parsed = ParsedChange | ParsedShow | Explain;
 
-const toWord = (token: IToken): ParsedWord => ({
+const newParsedWord = (token: IToken): ParsedWord => ({
 	text: token.tokenType === TOKENS.Quoted ? token.image.slice(1, -1) : token.image.replaceAll(/\s+/gv, ' '),
 	column: token.startColumn ?? 1,
 	line: token.startLine ?? 1,
@@ -37,15 +37,15 @@
 	});
 
 	readonly #value = this.RULE('value', (): ParsedWord => this.OR([
-		{ALT: () => toWord(this.CONSUME(TOKENS.Word))},
-		{ALT: () => toWord(this.CONSUME(TOKENS.Quoted))},
+		{ALT: () => newParsedWord(this.CONSUME(TOKENS.Word))},
+		{ALT: () => newParsedWord(this.CONSUME(TOKENS.Quoted))},
 	]));
 
 	readonly #attribute = this.RULE('attribute', (): ParsedAttribute => this.OR([
-		{ALT: () => ({name: toWord(this.CONSUME(TOKENS.Flag)), values: []})},
+		{ALT: () => ({name: newParsedWord(this.CONSUME(TOKENS.Flag)), values: []})},
 		{
 			ALT: () => {
-				const name = toWord(this.CONSUME(TOKENS.Word));
+				const name = newParsedWord(this.CONSUME(TOKENS.Word));
 				const values: ParsedWord[] = [];
 				this.AT_LEAST_ONE_SEP({
 					SEP: TOKENS.Comma,
@@ -73,7 +73,7 @@
 
 	readonly #show = this.RULE('show', (): ParsedShow => {
 		this.CONSUME(TOKENS.Show);
-		const listingWord = toWord(this.CONSUME(TOKENS.Word));
+		const listingWord = newParsedWord(this.CONSUME(TOKENS.Word));
 		const conditions: Condition[] = [];
 		const order: SortKey[] = [];
 		this.OPTION(() => {
@@ -111,12 +111,12 @@
 	});
 
 	readonly #change = this.RULE('change', (): ParsedChange => {
-		const verb = toWord(this.CONSUME(TOKENS.Word));
-		const object = toWord(this.CONSUME2(TOKENS.Word));
+		const verb = newParsedWord(this.CONSUME(TOKENS.Word));
+		const object = newParsedWord(this.CONSUME2(TOKENS.Word));
 		const name = this.SUBRULE(this.#value);
 		const owner = this.OPTION(() => {
 			this.CONSUME(TOKENS.Connector);
-			const ownerObject = toWord(this.CONSUME3(TOKENS.Word));
+			const ownerObject = newParsedWord(this.CONSUME3(TOKENS.Word));
 			return {ownerObject, ownerName: this.SUBRULE2(this.#value)};
 		});
 		const attributes: ParsedAttribute[] = [];
