--- a/packages/language/tests/language.feature
+++ b/packages/language/tests/language.feature
@@ -1,12 +1,12 @@
-Feature: The operators' language
-  Statements become typed commands; errors point at the column and say what was expected.
+Feature: The operator language
+  Statements are parsed into typed commands. Syntax errors name the column and the expected input.
 
-  Scenario: Every kind of change is parsed into its command
-    Then each kind of change has an example that becomes its command
+  Scenario: Each type of statement is parsed into its command
+    Then an example of each type of statement is parsed into its command
 
-  Scenario Outline: Errors point at the column
+  Scenario Outline: Syntax errors name the column and the expected input
     When "<text>" is parsed
-    Then it fails at column <column> and expects "<expected>"
+    Then parsing fails at column <column> and the message contains "<expected>"
 
     Examples:
       | text                          | column | expected              |
@@ -19,6 +19,6 @@
       | show teams where              | 17     | a name                |
       | drop team x weight 2          | 13     | the end               |
 
-  Scenario: Listings are filtered, ordered and cut
-    When "show models where replicas >= 1 and name != c order by replicas desc, name limit 2" is asked of rows "a 1, b 2, c 3, d 2"
-    Then the rows are "b,d"
+  Scenario: Listings are filtered, sorted and limited
+    When "show models where replicas >= 1 and name != c order by replicas desc, name limit 2" is evaluated on the rows "a 1, b 2, c 3, d 2"
+    Then the resulting rows are "b,d"
--- a/packages/language/tests/language.steps.ts
+++ b/packages/language/tests/language.steps.ts
@@ -25,7 +25,7 @@
 	'read only': 'read only',
 };
 
-Then('each kind of change has an example that becomes its command', () => {
+Then('an example of each type of statement is parsed into its command', () => {
 	for (const kind of STATEMENT_KINDS) {
 		const owner = kind.owner === '' ? '' : ` of ${kind.owner} o`;
 		const attributes = kind.attributes.map(name => name === 'replicas' && kind.object === 'adapter' ? 'replicas 2' : EXAMPLE_VALUES[name] ?? '').join(' ');
@@ -46,11 +46,11 @@
 	}
 });
 
-Then('it fails at column {int} and expects {string}', function (this: LanguageWorld, column: number, expected: string) {
+Then('parsing fails at column {int} and the message contains {string}', function (this: LanguageWorld, column: number, expected: string) {
 	assert.ok(this.message.includes(`column ${column}:`) && this.message.includes(expected), this.message);
 });
 
-When('{string} is asked of rows {string}', function (this: LanguageWorld, text: string, rows: string) {
+When('{string} is evaluated on the rows {string}', function (this: LanguageWorld, text: string, rows: string) {
 	const [statement] = parseStatements(text);
 	const table = rows.split(', ').map(row => {
 		const [name, replicas] = row.split(' ');
@@ -59,6 +59,6 @@
 	this.rows = selectRows(table, statement as Show);
 });
 
-Then('the rows are {string}', function (this: LanguageWorld, names: string) {
+Then('the resulting rows are {string}', function (this: LanguageWorld, names: string) {
 	assert.equal(this.rows.map(row => row.name).join(','), names);
 });
