--- a/apps/valelead-cli/src/connection.ts
+++ b/apps/valelead-cli/src/connection.ts
@@ -22,7 +22,7 @@
 	readonly isDryRun: boolean;
 };
 
-/** A connection of the command-line tool to the leader. */
+/** The connection of the command-line tool to the leader. */
 export class Connection {
 	readonly timers = new TimerService(SYSTEM_CLOCK);
 	readonly #pool: ChannelPool;
@@ -37,7 +37,7 @@
 		this.#timeoutMs = options.timeout;
 	}
 
-	/** Sends commands that take effect together; returns the revision that they made. */
+	/** Executes commands atomically and returns the revision of the configuration that they created. */
 	async execute(commands: readonly Command[], options: ExecuteOptions): Promise<number> {
 		const request = create(ExecuteRequestSchema, {
 			commandId: options.commandId,
@@ -47,14 +47,15 @@
 			...(options.expectedRevision !== undefined && {expectedRevision: options.expectedRevision}),
 		});
 		const reply = await this.#leader.call(Control.method.execute, request, this.#timeoutMs);
-		this.#check(reply.code, reply.message);
+		this.#throwOnError(reply.code, reply.message);
 		return reply.revision;
 	}
 
+	/** Executes a query and returns its rows, and the revision of the configuration that they show. */
 	async query(statement: Show | Explain): Promise<QueryResult> {
 		const request = create(QueryRequestSchema, {operatorKey: this.#operatorKey, statement: JSON.stringify(statement)});
 		const reply = await this.#leader.call(Control.method.query, request, this.#timeoutMs);
-		this.#check(reply.code, reply.message);
+		this.#throwOnError(reply.code, reply.message);
 		return {rows: JSON.parse(reply.rows) as Row[], revision: reply.revision};
 	}
 
@@ -63,7 +64,7 @@
 		this.timers.stop();
 	}
 
-	#check(code: number, message: string): void {
+	#throwOnError(code: number, message: string): void {
 		if (code !== RESULT_CODE.Ok) {
 			throw new ValeleadError(message, {code: code as ResultCodeValue});
 		}
--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -6,26 +6,26 @@
 import {WeightCopies} from './weight-copies.js';
 import type {WeightStore} from './weight-store.js';
 
-type EngineParts = {
+type EngineOptions = {
 	readonly clock: VirtualClock;
 	readonly store: WeightStore;
 	readonly terms: EngineTerms;
 	readonly models: ReadonlyMap<string, ModelTerms>;
-	/** How slow the engine is, relative to its terms. */
+	/** Factor by which the engine is slower than its parameters say. */
 	readonly slowness: number;
-	/** Called when an order for a model is done. */
+	/** Called when the load or unload of a model has ended. */
 	readonly onOrderEnd?: () => void;
-	/** Called when the engine has crashed under a request. */
+	/** Called when a request has crashed the engine. */
 	readonly onCrash?: () => void;
 };
 
-/** A load or an unload of a model. */
+/** An order to load or unload a model. */
 type ModelOrder = {
 	readonly kind: 'load' | 'unload';
 	readonly model: string;
 };
 
-/** Counts of what an engine has loaded, by where the weights came from, and for how long it was busy. */
+/** Number of loads by the source of the weights, and the total time that loads and unloads took, in milliseconds. */
 type LoadCounts = {
 	memory: number;
 	disk: number;
@@ -33,43 +33,43 @@
 	busyMs: number;
 };
 
-/** A model engine: it holds models within its memory, carries out one order at a time and serves what it holds meanwhile. */
+/** Emulates a model engine. It executes one load or unload of a model at a time, and serves its loaded models meanwhile. */
 export class EmulatedEngine {
 	readonly counts: LoadCounts = {
 		memory: 0, disk: 0, store: 0, busyMs: 0,
 	};
 
-	readonly #parts: EngineParts;
+	readonly #options: EngineOptions;
 	readonly #batch: EngineBatch;
-	/** Held models with their adapters. */
-	readonly #held = new Map<string, Set<string>>();
+	/** The adapters of each loaded model. */
+	readonly #loadedModels = new Map<string, Set<string>>();
 	readonly #memoryCopies: WeightCopies;
 	readonly #diskCopies: WeightCopies;
-	#order: ModelOrder | undefined;
-	#orderedAt = 0;
+	#currentOrder: ModelOrder | undefined;
+	#orderStartedAt = 0;
 	#sequence = 0;
 	#isUp = true;
 	#isBroken = false;
 
-	constructor(parts: EngineParts) {
-		this.#parts = parts;
-		this.#memoryCopies = new WeightCopies(parts.terms.hostMemory);
-		this.#diskCopies = new WeightCopies(parts.terms.diskMemory);
+	constructor(options: EngineOptions) {
+		this.#options = options;
+		this.#memoryCopies = new WeightCopies(options.terms.hostMemory);
+		this.#diskCopies = new WeightCopies(options.terms.diskMemory);
 		this.#batch = new EngineBatch({
-			clock: parts.clock,
-			terms: parts.terms,
-			getPace: model => (parts.models.get(model)?.pace ?? 1) * parts.slowness,
-			onLeft: () => {
+			clock: options.clock,
+			terms: options.terms,
+			getStepFactor: model => (options.models.get(model)?.pace ?? 1) * options.slowness,
+			onRequestEnd: () => {
 				this.#continueUnload();
 			},
 			onCrash: () => {
-				this.#break();
+				this.#handleCrash();
 			},
 		});
 	}
 
 	get held(): ReadonlyMap<string, ReadonlySet<string>> {
-		return this.#held;
+		return this.#loadedModels;
 	}
 
 	get memoryCopies(): string[] {
@@ -81,14 +81,14 @@
 	}
 
 	get isBusy(): boolean {
-		return this.#order !== undefined;
+		return this.#currentOrder !== undefined;
 	}
 
 	get isUp(): boolean {
 		return this.#isUp;
 	}
 
-	/** Whether it crashed with its machine up, so that its port refuses connections. */
+	/** True if the engine crashed while its machine stayed up, so that its port refuses connections. */
 	get isBroken(): boolean {
 		return this.#isBroken;
 	}
@@ -105,70 +105,77 @@
 		return this.#batch.queuedCount;
 	}
 
-	/** Places a model at once, with copies in memory and on the disk, as an installation does at its start. */
+	/** Loads a model without delay, with copies in host memory and on disk. Used to set up an installation at its start. */
 	place(model: string): void {
-		this.#held.set(model, new Set());
+		this.#loadedModels.set(model, new Set());
 		this.keepCopy(model);
 	}
 
-	/** Keeps a copy of a model on the disk and in host memory. */
+	/** Stores a copy of a model in host memory and on disk. */
 	keepCopy(model: string): void {
-		this.#memoryCopies.use(model, this.#parts.models.get(model)!.weightMemory);
+		this.#memoryCopies.use(model, this.#options.models.get(model)!.weightMemory);
 		this.keepDiskCopy(model);
 	}
 
-	/** Keeps a copy of a model on the disk alone. */
+	/** Stores a copy of a model on disk only. */
 	keepDiskCopy(model: string): void {
-		this.#diskCopies.use(model, this.#parts.models.get(model)!.weightMemory);
+		this.#diskCopies.use(model, this.#options.models.get(model)!.weightMemory);
 	}
 
-	/** Ends the engine for good; what it runs gets no further word. */
+	/** Stops the engine permanently. Its unfinished requests receive no further callbacks. */
 	crash(): void {
 		this.#isUp = false;
-		this.#held.clear();
+		this.#loadedModels.clear();
 	}
 
-	send(run: EngineRun): void {
-		const isGoing = this.#order?.kind === 'unload' && this.#order.model === run.model;
-		const adapters = this.#held.get(run.model);
-		const isHeld = adapters !== undefined && (run.adapter === '' || adapters.has(run.adapter));
-		if (!this.#isUp || !isHeld || isGoing) {
-			run.onReject(true);
+	/** Starts or queues a request. Rejects it if the engine is down, the model or adapter is not loaded, or the queue is full. */
+	send(request: EngineRun): void {
+		const isUnloading = this.#currentOrder?.kind === 'unload' && this.#currentOrder.model === request.model;
+		const adapters = this.#loadedModels.get(request.model);
+		const isLoaded = adapters !== undefined && (request.adapter === '' || adapters.has(request.adapter));
+		if (!this.#isUp || !isLoaded || isUnloading) {
+			request.onReject(true);
 			return;
 		}
 
-		if (!this.#batch.take(run)) {
-			run.onReject(false);
+		if (!this.#batch.enqueue(request)) {
+			request.onReject(false);
 		}
 	}
 
-	drop(run: EngineRun): void {
-		this.#batch.drop(run);
+	/** Cancels a request whose caller has disconnected. */
+	drop(request: EngineRun): void {
+		this.#batch.cancel(request);
 	}
 
-	/** Takes an order for a model; false where another one is in progress or the state has changed since `expected`. */
+	/**
+	 * Starts to load or unload a model. Returns false if another order is in progress or if the engine's order sequence number is not `expected`.
+	 */
 	order(order: ModelOrder, expected: number): boolean {
-		if (!this.#isReady(expected)) {
+		if (!this.#canStartOrder(expected)) {
 			return false;
 		}
 
 		this.#sequence += 1;
-		this.#order = order;
-		this.#orderedAt = this.#parts.clock.now();
+		this.#currentOrder = order;
+		this.#orderStartedAt = this.#options.clock.now();
 		if (order.kind === 'unload') {
-			this.#batch.forget(order.model);
+			this.#batch.removeModel(order.model);
 			this.#continueUnload();
 		} else {
-			this.#load(order.model);
+			this.#startLoad(order.model);
 		}
 
 		return true;
 	}
 
-	/** Loads or unloads an adapter; false while an order for a model is in progress. */
+	/**
+	 * Loads or unloads an adapter. Returns false if the model is not loaded, an order for a model is in progress, or the engine's order sequence
+	 * number is not `expected`.
+	 */
 	orderAdapter(kind: 'load' | 'unload', model: string, adapter: string, expected: number): boolean {
-		const adapters = this.#held.get(model);
-		if (!adapters || !this.#isReady(expected)) {
+		const adapters = this.#loadedModels.get(model);
+		if (!adapters || !this.#canStartOrder(expected)) {
 			return false;
 		}
 
@@ -176,46 +183,46 @@
 		if (kind === 'unload') {
 			adapters.delete(adapter);
 		} else {
-			this.#parts.clock.after(this.#parts.models.get(model)!.adapterLoadMs, () => {
-				this.#held.get(model)?.add(adapter);
+			this.#options.clock.after(this.#options.models.get(model)!.adapterLoadMs, () => {
+				this.#loadedModels.get(model)?.add(adapter);
 			});
 		}
 
 		return true;
 	}
 
-	#break(): void {
+	#handleCrash(): void {
 		this.#isBroken = true;
 		this.crash();
-		this.#batch.breakAll();
-		this.#parts.onCrash?.();
+		this.#batch.abortAll();
+		this.#options.onCrash?.();
 	}
 
-	#isReady(expected: number): boolean {
-		return this.#isUp && this.#order === undefined && expected === this.#sequence;
+	#canStartOrder(expected: number): boolean {
+		return this.#isUp && this.#currentOrder === undefined && expected === this.#sequence;
 	}
 
-	/** Ends an unload once nothing of the model runs any more. */
+	/** Continues an unload once the model has no running requests. */
 	#continueUnload(): void {
-		const order = this.#order;
-		if (order?.kind !== 'unload' || this.#batch.getRunning(order.model) > 0) {
+		const order = this.#currentOrder;
+		if (order?.kind !== 'unload' || this.#batch.getRunningCount(order.model) > 0) {
 			return;
 		}
 
-		this.#parts.clock.after(this.#parts.terms.unloadMs, () => {
-			if (this.#order === order) {
-				this.#held.delete(order.model);
+		this.#options.clock.after(this.#options.terms.unloadMs, () => {
+			if (this.#currentOrder === order) {
+				this.#loadedModels.delete(order.model);
 				this.#endOrder();
 			}
 		});
 	}
 
-	#load(model: string): void {
-		const terms = this.#parts.models.get(model)!;
-		const pressure = 1 + (this.#batch.activeCount / this.#parts.terms.slots);
+	#startLoad(model: string): void {
+		const terms = this.#options.models.get(model)!;
+		const pressure = 1 + (this.#batch.activeCount / this.#options.terms.slots);
 		const end = (): void => {
 			if (this.#isUp) {
-				this.#held.set(model, new Set());
+				this.#loadedModels.set(model, new Set());
 				this.keepCopy(model);
 				this.#endOrder();
 			}
@@ -223,19 +230,19 @@
 
 		if (this.#memoryCopies.has(model)) {
 			this.counts.memory += 1;
-			this.#parts.clock.after(terms.memoryLoadMs * pressure, end);
+			this.#options.clock.after(terms.memoryLoadMs * pressure, end);
 		} else if (this.#diskCopies.has(model)) {
 			this.counts.disk += 1;
-			this.#parts.clock.after(terms.diskLoadMs * pressure, end);
+			this.#options.clock.after(terms.diskLoadMs * pressure, end);
 		} else {
 			this.counts.store += 1;
-			this.#parts.store.fetch(terms.storeLoadMs * pressure, end);
+			this.#options.store.fetch(terms.storeLoadMs * pressure, end);
 		}
 	}
 
 	#endOrder(): void {
-		this.counts.busyMs += this.#parts.clock.now() - this.#orderedAt;
-		this.#order = undefined;
-		this.#parts.onOrderEnd?.();
+		this.counts.busyMs += this.#options.clock.now() - this.#orderStartedAt;
+		this.#currentOrder = undefined;
+		this.#options.onOrderEnd?.();
 	}
 }
--- a/packages/language/src/parse-statements.ts
+++ b/packages/language/src/parse-statements.ts
@@ -1,7 +1,7 @@
 import {RESULT_CODE, ValeleadError} from '@valelead/common';
 import {type Command, decodeCommands} from '@valelead/intent';
 import {Lexer} from 'chevrotain';
-import {ATTRIBUTE_KINDS} from './attribute-kinds.js';
+import {ATTRIBUTE_PARSERS} from './attribute-parsers.js';
 import {LISTINGS} from './listings.js';
 import {newSyntaxError} from './new-syntax-error.js';
 import {STATEMENT_KINDS} from './statement-kinds.js';
@@ -14,16 +14,16 @@
 const LEXER = new Lexer(Object.values(TOKENS));
 const PARSER = new StatementParser();
 
-const getKind = (change: ParsedChange): StatementKind => {
-	const ofVerb = STATEMENT_KINDS.filter(kind => kind.verb === change.verb.text);
-	if (ofVerb.length === 0) {
+const getStatementKind = (change: ParsedChange): StatementKind => {
+	const kindsOfVerb = STATEMENT_KINDS.filter(kind => kind.verb === change.verb.text);
+	if (kindsOfVerb.length === 0) {
 		const verbs = [...new Set(STATEMENT_KINDS.map(kind => kind.verb))];
 		throw newSyntaxError(change.verb, change.verb.text, `one of ${[...verbs, 'show', 'explain'].join(', ')}`);
 	}
 
-	const kind = ofVerb.find(candidate => candidate.object === change.object.text);
+	const kind = kindsOfVerb.find(candidate => candidate.object === change.object.text);
 	if (!kind) {
-		throw newSyntaxError(change.object, change.object.text, `one of ${ofVerb.map(candidate => candidate.object).join(', ')}`);
+		throw newSyntaxError(change.object, change.object.text, `one of ${kindsOfVerb.map(candidate => candidate.object).join(', ')}`);
 	}
 
 	return kind;
@@ -45,13 +45,13 @@
 			throw newSyntaxError(name, name.text, expected);
 		}
 
-		Object.assign(fields, ATTRIBUTE_KINDS[name.text](values));
+		Object.assign(fields, ATTRIBUTE_PARSERS[name.text](values));
 	}
 
 	return fields;
 };
 
-/** A value that the command schema refuses is reported where its statement begins. */
+/** Validates a command against its schema. Throws InvalidCommand with the position of the statement's first word if a value is invalid. */
 const checkCommand = (change: ParsedChange, command: Readonly<Record<string, unknown>>): Command => {
 	try {
 		const [checked] = decodeCommands(JSON.stringify([command]));
@@ -63,20 +63,21 @@
 };
 
 const toStatement = (change: ParsedChange, newHash: (() => string) | undefined): Statement => {
-	const kind = getKind(change);
+	const kind = getStatementKind(change);
 	checkOwner(change, kind);
 	const fields = getFields(change, kind);
 	if (newHash && kind.attributes.includes('hash')) {
 		fields.hash ??= newHash();
 	}
 
-	const command = kind.perform({name: change.name.text, owner: change.ownerName?.text ?? '', fields});
+	const command = kind.newCommand({name: change.name.text, owner: change.ownerName?.text ?? '', fields});
 	return {kind: 'change', command: checkCommand(change, command)};
 };
 
 /**
- * Parses statements separated by semicolons. Throws a numbered error with line, column and what was expected.
- * Statements that create a key without naming its hash get a new one.
+ * Parses statements separated by semicolons. Throws a ValeleadError with a result code; the message of a syntax error names the line, the column
+ * and the expected input.
+ * @param newHash - Generates the hash for statements that create a key or an operator without one.
  */
 export const parseStatements = (text: string, newHash?: () => string): Statement[] => {
 	const {tokens, errors} = LEXER.tokenize(text);
--- a/packages/language/src/select-rows.ts
+++ b/packages/language/src/select-rows.ts
@@ -14,11 +14,11 @@
 	return String(left).localeCompare(String(right));
 };
 
-const toValue = (text: string, like: Value): Value => typeof like === 'number' ? Number(text) : text;
+const parseValue = (text: string, reference: Value): Value => typeof reference === 'number' ? Number(text) : text;
 
 const isMatch = (row: Row, condition: Condition): boolean => {
 	const value = row[condition.field];
-	const difference = compareValues(value, toValue(condition.value, value));
+	const difference = compareValues(value, parseValue(condition.value, value));
 	switch (condition.operator) {
 		case '=': {
 			return difference === 0;
@@ -68,7 +68,7 @@
 	return 0;
 };
 
-/** The rows that a show statement asks for, in its order. */
+/** Filters, sorts and limits rows as a `show` statement requests. Throws UnknownField if the rows do not have a field that it names. */
 export const selectRows = (rows: readonly Row[], show: Show): Row[] => {
 	for (const {field} of [...show.conditions, ...show.order]) {
 		checkField(rows, field);
--- a/packages/language/src/statements/alter-class.ts
+++ b/packages/language/src/statements/alter-class.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter class`. */
+/** The `alter class` statement: changes a class. */
 export const alterClass: StatementKind = {
 	verb: 'alter',
 	object: 'class',
 	owner: '',
 	attributes: ['deadline', 'weight', 'queue'],
-	perform: ({name, fields}) => ({kind: 'alterClass', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterClass', name, ...fields}),
 };
--- a/packages/language/src/statements/alter-model.ts
+++ b/packages/language/src/statements/alter-model.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter model`. */
+/** The `alter model` statement: changes a model. */
 export const alterModel: StatementKind = {
 	verb: 'alter',
 	object: 'model',
 	owner: '',
 	attributes: ['memory', 'replicas', 'class', 'teams', 'version'],
-	perform: ({name, fields}) => ({kind: 'alterModel', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterModel', name, ...fields}),
 };
--- a/packages/language/src/statements/alter-service.ts
+++ b/packages/language/src/statements/alter-service.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter service`. */
+/** The `alter service` statement: changes a service. */
 export const alterService: StatementKind = {
 	verb: 'alter',
 	object: 'service',
 	owner: '',
 	attributes: ['class', 'teams', 'repeatable', 'not repeatable'],
-	perform: ({name, fields}) => ({kind: 'alterService', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterService', name, ...fields}),
 };
--- a/packages/language/src/statements/alter-team.ts
+++ b/packages/language/src/statements/alter-team.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `alter team`. */
+/** The `alter team` statement: changes a team. */
 export const alterTeam: StatementKind = {
 	verb: 'alter',
 	object: 'team',
 	owner: '',
 	attributes: ['weight', 'limit', 'queue', 'classes'],
-	perform: ({name, fields}) => ({kind: 'alterTeam', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'alterTeam', name, ...fields}),
 };
--- a/packages/language/src/statements/create-adapter.ts
+++ b/packages/language/src/statements/create-adapter.ts
@@ -1,12 +1,12 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create adapter` of a model. */
+/** The `create adapter` statement: creates an adapter of a model. */
 export const createAdapter: StatementKind = {
 	verb: 'create',
 	object: 'adapter',
 	owner: 'model',
 	attributes: ['memory', 'replicas', 'teams'],
-	perform: ({name, owner, fields}) => ({
+	newCommand: ({name, owner, fields}) => ({
 		kind: 'createAdapter', name, model: owner, ...fields,
 	}),
 };
--- a/packages/language/src/statements/create-class.ts
+++ b/packages/language/src/statements/create-class.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create class`. */
+/** The `create class` statement: creates a class. */
 export const createClass: StatementKind = {
 	verb: 'create',
 	object: 'class',
 	owner: '',
 	attributes: ['deadline', 'weight', 'queue'],
-	perform: ({name, fields}) => ({kind: 'createClass', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createClass', name, ...fields}),
 };
--- a/packages/language/src/statements/create-key.ts
+++ b/packages/language/src/statements/create-key.ts
@@ -1,12 +1,12 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create key` of a team. */
+/** The `create key` statement: creates a key of a team. */
 export const createKey: StatementKind = {
 	verb: 'create',
 	object: 'key',
 	owner: 'team',
 	attributes: ['hash'],
-	perform: ({name, owner, fields}) => ({
+	newCommand: ({name, owner, fields}) => ({
 		kind: 'createKey', name, team: owner, ...fields,
 	}),
 };
--- a/packages/language/src/statements/create-model.ts
+++ b/packages/language/src/statements/create-model.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create model`. */
+/** The `create model` statement: creates a model. */
 export const createModel: StatementKind = {
 	verb: 'create',
 	object: 'model',
 	owner: '',
 	attributes: ['memory', 'replicas', 'class', 'teams', 'version'],
-	perform: ({name, fields}) => ({kind: 'createModel', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createModel', name, ...fields}),
 };
--- a/packages/language/src/statements/create-operator.ts
+++ b/packages/language/src/statements/create-operator.ts
@@ -1,12 +1,12 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create operator`. */
+/** The `create operator` statement: creates an operator. */
 export const createOperator: StatementKind = {
 	verb: 'create',
 	object: 'operator',
 	owner: '',
 	attributes: ['hash', 'read only'],
-	perform: ({name, fields}) => ({
+	newCommand: ({name, fields}) => ({
 		kind: 'createOperator', name, canWrite: true, ...fields,
 	}),
 };
--- a/packages/language/src/statements/create-service.ts
+++ b/packages/language/src/statements/create-service.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create service`. */
+/** The `create service` statement: creates a service. */
 export const createService: StatementKind = {
 	verb: 'create',
 	object: 'service',
 	owner: '',
 	attributes: ['class', 'teams', 'repeatable', 'not repeatable'],
-	perform: ({name, fields}) => ({kind: 'createService', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createService', name, ...fields}),
 };
--- a/packages/language/src/statements/create-team.ts
+++ b/packages/language/src/statements/create-team.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create team`. */
+/** The `create team` statement: creates a team. */
 export const createTeam: StatementKind = {
 	verb: 'create',
 	object: 'team',
 	owner: '',
 	attributes: ['weight', 'limit', 'queue', 'classes'],
-	perform: ({name, fields}) => ({kind: 'createTeam', name, ...fields}),
+	newCommand: ({name, fields}) => ({kind: 'createTeam', name, ...fields}),
 };
--- a/packages/language/src/statements/create-version.ts
+++ b/packages/language/src/statements/create-version.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `create version` of a model. */
+/** The `create version` statement: creates a version of a model. */
 export const createVersion: StatementKind = {
 	verb: 'create',
 	object: 'version',
 	owner: 'model',
 	attributes: [],
-	perform: ({name, owner}) => ({kind: 'createVersion', name, model: owner}),
+	newCommand: ({name, owner}) => ({kind: 'createVersion', name, model: owner}),
 };
--- a/packages/language/src/statements/drain-data-centre.ts
+++ b/packages/language/src/statements/drain-data-centre.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drain data centre`. */
+/** The `drain data centre` statement: stops sending new work to the VMs of a data centre. */
 export const drainDataCentre: StatementKind = {
 	verb: 'drain',
 	object: 'data centre',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'drain', target: 'dataCentre', name}),
+	newCommand: ({name}) => ({kind: 'drain', target: 'dataCentre', name}),
 };
--- a/packages/language/src/statements/drain-upstream.ts
+++ b/packages/language/src/statements/drain-upstream.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drain upstream`. */
+/** The `drain upstream` statement: stops sending new work to an upstream. */
 export const drainUpstream: StatementKind = {
 	verb: 'drain',
 	object: 'upstream',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'drain', target: 'upstream', name}),
+	newCommand: ({name}) => ({kind: 'drain', target: 'upstream', name}),
 };
--- a/packages/language/src/statements/drain-vm.ts
+++ b/packages/language/src/statements/drain-vm.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drain vm`. */
+/** The `drain vm` statement: stops sending new work to a VM. */
 export const drainVm: StatementKind = {
 	verb: 'drain',
 	object: 'vm',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'drain', target: 'vm', name}),
+	newCommand: ({name}) => ({kind: 'drain', target: 'vm', name}),
 };
--- a/packages/language/src/statements/drop-class.ts
+++ b/packages/language/src/statements/drop-class.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop class`. */
+/** The `drop class` statement: deletes a class. */
 export const dropClass: StatementKind = {
 	verb: 'drop',
 	object: 'class',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropClass', name}),
+	newCommand: ({name}) => ({kind: 'dropClass', name}),
 };
--- a/packages/language/src/statements/drop-model.ts
+++ b/packages/language/src/statements/drop-model.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop model`. */
+/** The `drop model` statement: deletes a model. */
 export const dropModel: StatementKind = {
 	verb: 'drop',
 	object: 'model',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropModel', name}),
+	newCommand: ({name}) => ({kind: 'dropModel', name}),
 };
--- a/packages/language/src/statements/drop-operator.ts
+++ b/packages/language/src/statements/drop-operator.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop operator`. */
+/** The `drop operator` statement: deletes an operator. */
 export const dropOperator: StatementKind = {
 	verb: 'drop',
 	object: 'operator',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropOperator', name}),
+	newCommand: ({name}) => ({kind: 'dropOperator', name}),
 };
--- a/packages/language/src/statements/drop-service.ts
+++ b/packages/language/src/statements/drop-service.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop service`. */
+/** The `drop service` statement: deletes a service. */
 export const dropService: StatementKind = {
 	verb: 'drop',
 	object: 'service',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropService', name}),
+	newCommand: ({name}) => ({kind: 'dropService', name}),
 };
--- a/packages/language/src/statements/drop-team.ts
+++ b/packages/language/src/statements/drop-team.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `drop team`. */
+/** The `drop team` statement: deletes a team. */
 export const dropTeam: StatementKind = {
 	verb: 'drop',
 	object: 'team',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'dropTeam', name}),
+	newCommand: ({name}) => ({kind: 'dropTeam', name}),
 };
--- a/packages/language/src/statements/forget-vm.ts
+++ b/packages/language/src/statements/forget-vm.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `forget vm`. */
+/** The `forget vm` statement: declares that a VM will not return, which frees its grants. */
 export const forgetVm: StatementKind = {
 	verb: 'forget',
 	object: 'vm',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'forgetVm', name}),
+	newCommand: ({name}) => ({kind: 'forgetVm', name}),
 };
--- a/packages/language/src/statements/release-request.ts
+++ b/packages/language/src/statements/release-request.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `release request`. */
+/** The `release request` statement: releases a request from quarantine. */
 export const releaseRequest: StatementKind = {
 	verb: 'release',
 	object: 'request',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'releaseRequest', name}),
+	newCommand: ({name}) => ({kind: 'releaseRequest', name}),
 };
--- a/packages/language/src/statements/start-model.ts
+++ b/packages/language/src/statements/start-model.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `start model`. */
+/** The `start model` statement: accepts requests for a model again, after it was stopped. */
 export const startModel: StatementKind = {
 	verb: 'start',
 	object: 'model',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'start', target: 'model', name}),
+	newCommand: ({name}) => ({kind: 'start', target: 'model', name}),
 };
--- a/packages/language/src/statements/start-service.ts
+++ b/packages/language/src/statements/start-service.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `start service`. */
+/** The `start service` statement: accepts requests for a service again, after it was stopped. */
 export const startService: StatementKind = {
 	verb: 'start',
 	object: 'service',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'start', target: 'service', name}),
+	newCommand: ({name}) => ({kind: 'start', target: 'service', name}),
 };
--- a/packages/language/src/statements/start-team.ts
+++ b/packages/language/src/statements/start-team.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `start team`. */
+/** The `start team` statement: accepts requests of a team again, after it was stopped. */
 export const startTeam: StatementKind = {
 	verb: 'start',
 	object: 'team',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'start', target: 'team', name}),
+	newCommand: ({name}) => ({kind: 'start', target: 'team', name}),
 };
--- a/packages/language/src/statements/stop-model.ts
+++ b/packages/language/src/statements/stop-model.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `stop model`. */
+/** The `stop model` statement: refuses new requests for a model. */
 export const stopModel: StatementKind = {
 	verb: 'stop',
 	object: 'model',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'stop', target: 'model', name}),
+	newCommand: ({name}) => ({kind: 'stop', target: 'model', name}),
 };
--- a/packages/language/src/statements/stop-service.ts
+++ b/packages/language/src/statements/stop-service.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `stop service`. */
+/** The `stop service` statement: refuses new requests for a service. */
 export const stopService: StatementKind = {
 	verb: 'stop',
 	object: 'service',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'stop', target: 'service', name}),
+	newCommand: ({name}) => ({kind: 'stop', target: 'service', name}),
 };
--- a/packages/language/src/statements/stop-team.ts
+++ b/packages/language/src/statements/stop-team.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `stop team`. */
+/** The `stop team` statement: refuses new requests of a team. */
 export const stopTeam: StatementKind = {
 	verb: 'stop',
 	object: 'team',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'stop', target: 'team', name}),
+	newCommand: ({name}) => ({kind: 'stop', target: 'team', name}),
 };
--- a/packages/language/src/statements/undrain-data-centre.ts
+++ b/packages/language/src/statements/undrain-data-centre.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `undrain data centre`. */
+/** The `undrain data centre` statement: allows new work for the VMs of a data centre again, after it was drained. */
 export const undrainDataCentre: StatementKind = {
 	verb: 'undrain',
 	object: 'data centre',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'undrain', target: 'dataCentre', name}),
+	newCommand: ({name}) => ({kind: 'undrain', target: 'dataCentre', name}),
 };
--- a/packages/language/src/statements/undrain-upstream.ts
+++ b/packages/language/src/statements/undrain-upstream.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `undrain upstream`. */
+/** The `undrain upstream` statement: allows new work for an upstream again, after it was drained. */
 export const undrainUpstream: StatementKind = {
 	verb: 'undrain',
 	object: 'upstream',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'undrain', target: 'upstream', name}),
+	newCommand: ({name}) => ({kind: 'undrain', target: 'upstream', name}),
 };
--- a/packages/language/src/statements/undrain-vm.ts
+++ b/packages/language/src/statements/undrain-vm.ts
@@ -1,10 +1,10 @@
 import type {StatementKind} from '../statement-kind.js';
 
-/** `undrain vm`. */
+/** The `undrain vm` statement: allows new work for a VM again, after it was drained. */
 export const undrainVm: StatementKind = {
 	verb: 'undrain',
 	object: 'vm',
 	owner: '',
 	attributes: [],
-	perform: ({name}) => ({kind: 'undrain', target: 'vm', name}),
+	newCommand: ({name}) => ({kind: 'undrain', target: 'vm', name}),
 };
