--- a/apps/valelead-cli/src/connection.ts
+++ b/apps/valelead-cli/src/connection.ts
@@ -4,7 +4,7 @@
 	RESULT_CODE, type ResultCodeValue, SYSTEM_CLOCK, TimerService, ValeleadError,
 } from '@valelead/common';
 import {
-	ChannelPool, Control, ExecuteRequestSchema, LeaderCalls, QueryRequestSchema,
+	ChannelPool, Control, ExecuteRequestSchema, LeaderClient, QueryRequestSchema,
 } from '@valelead/protocol';
 import type {Command} from '@valelead/intent';
 import type {Explain, Row, Show} from '@valelead/language';
@@ -26,13 +26,13 @@
 export class Connection {
 	readonly timers = new TimerService(SYSTEM_CLOCK);
 	readonly #pool: ChannelPool;
-	readonly #leader: LeaderCalls;
+	readonly #leader: LeaderClient;
 	readonly #operatorKey: string;
 	readonly #timeoutMs: number;
 
 	constructor(options: CommonOptions) {
 		this.#pool = new ChannelPool(newCredentials(options));
-		this.#leader = new LeaderCalls(this.#pool, options.control.split(','), this.timers);
+		this.#leader = new LeaderClient(this.#pool, options.control.split(','), this.timers);
 		this.#operatorKey = readFileSync(options.keyFile, 'utf8').trim();
 		this.#timeoutMs = options.timeout;
 	}
--- a/apps/valelead-daemon/src/break-off.ts
+++ b/apps/valelead-daemon/src/abort-response.ts
@@ -8,7 +8,7 @@
  * is enough, as the last chunk or some of the bytes are missing. An HTTP/1.0 caller takes an orderly close as the end of a complete response, so its
  * connection is reset.
  */
-export const breakOff = (response: ServerResponse): void => {
+export const abortResponse = (response: ServerResponse): void => {
 	if (response.req.httpVersion < CHUNKED_HTTP_VERSION) {
 		response.socket?.resetAndDestroy();
 	}
--- a/apps/valelead-daemon/src/adapter/caller-codec.ts
+++ b/apps/valelead-daemon/src/adapter/caller-codec.ts
@@ -1,5 +1,5 @@
 import type {IncomingHttpHeaders} from 'node:http';
-import type {AnswerHead} from './answer-head.js';
+import type {ResponseMetadata} from './response-metadata.js';
 import type {CallerRequest} from './caller-request.js';
 import type {UpstreamDispatch} from './upstream-dispatch.js';
 
@@ -10,5 +10,5 @@
 	readonly decodeRequest: (headers: IncomingHttpHeaders) => CallerRequest;
 	/** Returns the headers for the upstream as a flat list of names and values: the caller's headers without those that only the system may set. */
 	readonly newUpstreamHeaders: (rawHeaders: readonly string[], dispatch: UpstreamDispatch) => string[];
-	readonly decodeAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerHead;
+	readonly decodeAnswer: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
 };
--- a/apps/valelead-daemon/src/adapter/order-terms.ts
+++ b/apps/valelead-daemon/src/adapter/conditional-order.ts
@@ -1,7 +1,7 @@
 import type {EngineOrder} from '@valelead/residency';
 
 /** An order to an engine with the conditions under which the engine may accept it. */
-export type OrderTerms = {
+export type ConditionalOrder = {
 	readonly order: EngineOrder;
 	/** The id of the engine that the order is for, as the engine itself reports it. */
 	readonly instanceId: string;
--- a/apps/valelead-daemon/src/adapter/answer-head.ts
+++ b/apps/valelead-daemon/src/adapter/response-metadata.ts
@@ -1,5 +1,5 @@
 /** The platform-specific fields in the head of an upstream's response. */
-export type AnswerHead = {
+export type ResponseMetadata = {
 	/** The id of the request that the response belongs to. */
 	readonly requestId: string;
 	/** True if the upstream states that it did not execute the request. */
--- a/apps/valelead-daemon/src/agent/agent.ts
+++ b/apps/valelead-daemon/src/agent/agent.ts
@@ -4,7 +4,7 @@
 	type TimerService, SYSTEM_CLOCK,
 } from '@valelead/common';
 import {
-	type AgentEffect, type AgentEvent, type AgentSettings, type AgentState, type Upstream, type UpstreamOrder, getClosedCode, getUnitReports, getUsedBytes, mutateAgent, mutateWithdrawn, newAgentState,
+	type AgentEffect, type AgentEvent, type AgentSettings, type AgentState, type Upstream, type UpstreamOrder, getRefusalCode, getUnitReports, getUsedBytes, mutateAgent, mutateWithdrawnAttempt, newAgentState,
 } from '@valelead/engine';
 import {
 	type SessionReport, type SessionUpdate, SessionReportSchema,
@@ -53,7 +53,7 @@
 	}
 
 	get isReady(): boolean {
-		return getClosedCode(this.#state, this.#settings, SYSTEM_CLOCK.now()) === undefined;
+		return getRefusalCode(this.#state, this.#settings, SYSTEM_CLOCK.now()) === undefined;
 	}
 
 	get creditMs(): number {
@@ -97,7 +97,7 @@
 	 * arrives late is refused.
 	 */
 	withdraw(attemptId: string, creditId: string): string {
-		return mutateWithdrawn(this.#state, attemptId, creditId);
+		return mutateWithdrawnAttempt(this.#state, attemptId, creditId);
 	}
 
 	/** Creates the report of this agent to the leader. */
--- a/apps/valelead-daemon/src/agent/start-agent.ts
+++ b/apps/valelead-daemon/src/agent/start-agent.ts
@@ -1,7 +1,7 @@
 import {SYSTEM_CLOCK, TimerService} from '@valelead/common';
 import {HttpUpstream} from '@valelead/engine';
 import {
-	Agent as AgentDescription, ChannelPool, LeaderCalls, newServiceDefinition,
+	Agent as AgentDescription, ChannelPool, LeaderClient, newServiceDefinition,
 } from '@valelead/protocol';
 import type {Logger} from 'pino';
 import {startAdminServer} from '../admin-server.js';
@@ -12,7 +12,7 @@
 import {newServerCredentials} from '../tls/new-server-credentials.js';
 import type {AgentDaemonSettings} from '../settings/agent-daemon-settings.js';
 import type {Stoppable} from '../stoppable.js';
-import {getStartMs} from '../get-start-ms.js';
+import {getStartupDurationMs} from '../get-startup-duration-ms.js';
 import {Agent} from './agent.js';
 import {acquireGuardPort} from './acquire-guard-port.js';
 import {newAgentService} from './new-agent-service.js';
@@ -32,7 +32,7 @@
 	});
 	const session = new SessionClient({
 		pool,
-		leader: new LeaderCalls(pool, settings.controlAddresses, timers),
+		leader: new LeaderClient(pool, settings.controlAddresses, timers),
 		timers,
 		clock: SYSTEM_CLOCK,
 		logger,
@@ -45,7 +45,7 @@
 	const server = new GrpcServer([{
 		definition: newServiceDefinition(AgentDescription),
 		implementation: newAgentService(agent, upstream, () => {
-			session.reportSoon();
+			session.scheduleReport();
 		}),
 	}]);
 	await server.listen(settings.listen, newServerCredentials(settings.tls));
@@ -62,7 +62,7 @@
 		if (agent.hasStatus) {
 			startupCheck.cancel();
 			session.start();
-			logger.info({event: 'started', startMs: getStartMs()}, 'agent started');
+			logger.info({event: 'started', startMs: getStartupDurationMs()}, 'agent started');
 		}
 	});
 
--- a/apps/valelead-daemon/src/caller-connections.ts
+++ b/apps/valelead-daemon/src/caller-connections.ts
@@ -34,7 +34,7 @@
 	}
 
 	/** Registers the response to a request that has arrived. */
-	note(response: ServerResponse): void {
+	addResponse(response: ServerResponse): void {
 		const {socket} = response;
 		const connection = socket ? this.#connections.get(socket) : undefined;
 		if (!connection) {
--- a/apps/valelead-daemon/src/control/new-voter.ts
+++ b/apps/valelead-daemon/src/control/new-voter.ts
@@ -1,7 +1,7 @@
 import type {TimerService} from '@valelead/common';
 import type {ChannelPool} from '@valelead/protocol';
 import type {Logger} from 'pino';
-import {exitWithLogs} from '../exit-with-logs.js';
+import {flushLogsAndExit} from '../flush-logs-and-exit.js';
 import type {VoterOptions} from './voter-options.js';
 import {Voter} from './voter.js';
 
@@ -28,6 +28,6 @@
 	logger,
 	onFailure(error) {
 		logger.fatal({event: 'storage-failed', code: error.code, reason: error.message}, 'storage failed');
-		exitWithLogs(logger, 1);
+		flushLogsAndExit(logger, 1);
 	},
 });
--- a/apps/valelead-daemon/src/control/order-leases.ts
+++ b/apps/valelead-daemon/src/control/order-leases.ts
@@ -6,12 +6,12 @@
 	type LeaseState,
 	type OrderLease,
 	ORDER_LEASE_MS,
-	getHoldersKnownMs,
-	getLeasesOf,
+	getHoldersKnownInMs,
+	getVmLeases,
 	getSidecarDelayMs,
-	mutateEnded,
+	mutateEndedLease,
 	mutateLeases,
-	mutateRenewed,
+	mutateRenewedLeases,
 	newLeaseState,
 } from '@valelead/order-lease';
 import type {FollowerReport, HeldLease} from '@valelead/protocol';
@@ -65,20 +65,20 @@
 		}
 
 		for (const {engineAddress, agoMs} of report.endedLeases) {
-			mutateEnded(state, engineAddress, this.#parts.clock.now() - agoMs);
+			mutateEndedLease(state, engineAddress, this.#parts.clock.now() - agoMs);
 		}
 
 		if (report.keeperAddress !== '') {
 			const candidate = {
 				vm: report.vm,
 				keeperAddress: report.keeperAddress,
-				heardAt: this.#parts.clock.now(),
+				reportedAt: this.#parts.clock.now(),
 				isStopping: report.isStopping,
-				held: report.leases.map(({engineAddress, fence, startsInMs}) => ({address: engineAddress, fence, startsInMs})),
+				leases: report.leases.map(({engineAddress, fence, startsInMs}) => ({address: engineAddress, fence, startsInMs})),
 			};
 			this.#candidates.set(report.vm, candidate);
 			// Renewed here and not in the next check, so that the reply to a holder's first report already confirms its leases.
-			mutateRenewed(state, candidate);
+			mutateRenewedLeases(state, candidate);
 		}
 	}
 
@@ -87,7 +87,7 @@
 		const now = this.#parts.clock.now();
 		const state = this.#getState();
 		return state
-			? getLeasesOf(state, vm).map(({address, fence, startsAt}) => ({engineAddress: address, fence, startsInMs: Math.max(0, startsAt - now)}))
+			? getVmLeases(state, vm).map(({address, fence, startsAt}) => ({engineAddress: address, fence, startsInMs: Math.max(0, startsAt - now)}))
 			: [];
 	}
 
@@ -106,13 +106,13 @@
 	/** Time until all holders of leases granted by earlier leaders are known, in milliseconds. */
 	get holdersKnownMs(): number {
 		const state = this.#getState();
-		return state ? getHoldersKnownMs(state, this.#parts.clock.now()) : 0;
+		return state ? getHoldersKnownInMs(state, this.#parts.clock.now()) : 0;
 	}
 
 	/** Number of engines without a sidecar and without a lease; 0 if this voter is not the leader. */
 	get unattendedCount(): number {
 		const state = this.#getState();
-		const isUnattended = (address: string): boolean => !state!.attended.has(address) && !state!.leases.has(address);
+		const isUnattended = (address: string): boolean => !state!.enginesWithSidecar.has(address) && !state!.leases.has(address);
 		return state ? [...this.#getEngineAddresses()].filter(address => isUnattended(address)).length : 0;
 	}
 
@@ -132,7 +132,7 @@
 	}
 
 	#noteSidecar(state: LeaseState, address: string): void {
-		if (state.attended.has(address)) {
+		if (state.enginesWithSidecar.has(address)) {
 			return;
 		}
 
@@ -143,7 +143,7 @@
 			}, 'lease ended; the sidecar manages the engine');
 		}
 
-		state.attended.add(address);
+		state.enginesWithSidecar.add(address);
 		this.#parts.registry.setManager(address, '');
 	}
 
@@ -162,13 +162,13 @@
 		}
 
 		for (const {address, vm} of state.leases.values()) {
-			registry.setManager(address, state.attended.has(address) ? '' : this.#candidates.get(vm)?.keeperAddress ?? '');
+			registry.setManager(address, state.enginesWithSidecar.has(address) ? '' : this.#candidates.get(vm)?.keeperAddress ?? '');
 		}
 	}
 
 	/** Removes processes whose last report is older than two lease times: all their leases have expired. */
 	#removeSilentCandidates(now: number): void {
-		for (const [vm, {heardAt}] of this.#candidates) {
+		for (const [vm, {reportedAt: heardAt}] of this.#candidates) {
 			if (now - heardAt > 2 * ORDER_LEASE_MS) {
 				this.#candidates.delete(vm);
 			}
--- a/apps/valelead-daemon/src/control/upstream-registry.ts
+++ b/apps/valelead-daemon/src/control/upstream-registry.ts
@@ -2,7 +2,7 @@
 	type Clock, RESULT_CODE, type TimerService, ValeleadError,
 } from '@valelead/common';
 import {
-	type Directory, type Run, type Upstream, UPSTREAM_STATE, getNewestRun, mutateAnnouncement, mutateDeparture, mutateKeeper, mutateSilent, newDirectory,
+	type Directory, type Run, type Upstream, UPSTREAM_STATE, getNewestRun, mutateAnnouncement, mutateDeparture, mutateManagerAddress, mutateSilentUpstreams, newDirectory,
 } from '@valelead/discovery';
 import type {Logger} from 'pino';
 import type {Voter} from './voter.js';
@@ -86,7 +86,7 @@
 
 		this.#managerAddresses.set(address, keeperAddress);
 		this.#mutateDirectory(() => {
-			mutateKeeper(this.#directory, address, keeperAddress);
+			mutateManagerAddress(this.#directory, address, keeperAddress);
 		});
 	}
 
@@ -116,7 +116,7 @@
 	#removeSilent(now: number): void {
 		this.#checkTerm();
 		this.#mutateDirectory(() => {
-			for (const upstream of mutateSilent(this.#directory, this.#parts.announceMs * MAX_MISSED_ANNOUNCEMENTS, now)) {
+			for (const upstream of mutateSilentUpstreams(this.#directory, this.#parts.announceMs * MAX_MISSED_ANNOUNCEMENTS, now)) {
 				this.#log(upstream, 'silent');
 			}
 		});
--- a/apps/valelead-daemon/src/controller/start-controller.ts
+++ b/apps/valelead-daemon/src/controller/start-controller.ts
@@ -23,7 +23,7 @@
 import {setQuorumMetrics} from '../metrics/set-quorum-metrics.js';
 import type {VotingControllerSettings} from '../settings/voting-controller-settings.js';
 import type {Stoppable} from '../stoppable.js';
-import {getStartMs} from '../get-start-ms.js';
+import {getStartupDurationMs} from '../get-startup-duration-ms.js';
 import {newChannelCredentials} from '../tls/new-channel-credentials.js';
 import {newServerCredentials} from '../tls/new-server-credentials.js';
 import {ControlServer} from './control-server.js';
@@ -154,13 +154,13 @@
 		getUnreadyReason: () => voter.node ? undefined : 'no quorum yet',
 		refreshMetrics() {
 			metrics.revision.set(voter.machine.routing?.version ?? 0);
-			metrics.unattendedEngines.set(leases.unattendedCount);
+			metrics.unmanagedEngines.set(leases.unattendedCount);
 			metrics.limitedUpstreams.set(limits.count);
 			setQuotaMetrics(metrics, quotas.levels);
 			setQuorumMetrics(metrics, quorum.view, settings.faultTolerance);
 		},
 	});
-	logger.info({event: 'started', control: settings.control, startMs: getStartMs()}, 'controller started');
+	logger.info({event: 'started', control: settings.control, startMs: getStartupDurationMs()}, 'controller started');
 	return {
 		async stop() {
 			await transferLeadership(voter, timers);
--- a/apps/valelead-daemon/src/entry/attempt.ts
+++ b/apps/valelead-daemon/src/entry/attempt.ts
@@ -21,7 +21,7 @@
 	readonly attemptId: string;
 	readonly vm: string;
 	readonly sink: ResponseSink;
-	readonly maxWholeBytes: number;
+	readonly maxBufferedBytes: number;
 	readonly events: AttemptEvents;
 };
 
@@ -53,7 +53,7 @@
 		}
 	}
 
-	take(frame: Frame): void {
+	handleFrame(frame: Frame): void {
 		if (this.#isEnded) {
 			return;
 		}
@@ -68,7 +68,7 @@
 	}
 
 	/** Ends the attempt after its lane has closed. If no frame had arrived, the agent is asked, as it may confirm that the request did not run. */
-	async lose(): Promise<void> {
+	async handleLaneClosed(): Promise<void> {
 		if (this.#isEnded) {
 			return;
 		}
@@ -120,7 +120,7 @@
 
 	#handleData(chunk: Buffer): void {
 		this.#bytes += chunk.length;
-		if (!this.#parts.sink.isStream && this.#bytes > this.#parts.maxWholeBytes) {
+		if (!this.#parts.sink.isStream && this.#bytes > this.#parts.maxBufferedBytes) {
 			this.#abort(RESULT_CODE.AnswerCut, OUTCOME.Unknown);
 			return;
 		}
--- a/apps/valelead-daemon/src/entry/claim-client.ts
+++ b/apps/valelead-daemon/src/entry/claim-client.ts
@@ -2,7 +2,7 @@
 import {create} from '@bufbuild/protobuf';
 import {OUTCOME, RESULT_CODE, ValeleadError} from '@valelead/common';
 import {
-	type ClaimReply, type LeaderCalls, ClaimRequestSchema, Control,
+	type ClaimReply, type LeaderClient, ClaimRequestSchema, Control,
 } from '@valelead/protocol';
 import type {RoutedRequest} from './routed-request.js';
 import type {CompleteResponse} from './complete-response.js';
@@ -14,9 +14,9 @@
 
 /** Claims requests that must not run twice, and records their outcomes, in the replicated state of the quorum. */
 export class ClaimClient {
-	readonly #leader: LeaderCalls;
+	readonly #leader: LeaderClient;
 
-	constructor(leader: LeaderCalls) {
+	constructor(leader: LeaderClient) {
 		this.#leader = leader;
 	}
 
--- a/apps/valelead-daemon/src/entry/dispatcher.ts
+++ b/apps/valelead-daemon/src/entry/dispatcher.ts
@@ -54,7 +54,7 @@
 				});
 			},
 			onFrame: frame => {
-				this.#attempts.get(frame.attemptId)?.take(frame);
+				this.#attempts.get(frame.attemptId)?.handleFrame(frame);
 			},
 			onClosed: vm => {
 				this.#closeLane(vm);
@@ -241,7 +241,7 @@
 			attemptId,
 			vm,
 			sink: exchange.sink,
-			maxWholeBytes: this.#parts.maxAnswerBytes,
+			maxBufferedBytes: this.#parts.maxAnswerBytes,
 			events: {
 				onStart: status => this.#handleStart(exchange, attemptId, status),
 				onData: () => {
@@ -265,7 +265,7 @@
 		this.#handleEvent({kind: 'laneClosed', vm});
 		for (const attempt of this.#attempts.values()) {
 			if (attempt.vm === vm) {
-				void attempt.lose();
+				void attempt.handleLaneClosed();
 			}
 		}
 	}
--- a/apps/valelead-daemon/src/entry/entry.ts
+++ b/apps/valelead-daemon/src/entry/entry.ts
@@ -4,7 +4,7 @@
 	RESULT_CODE, RESULT_DETAILS, type ResultCodeValue, SYSTEM_CLOCK, type TimerService,
 } from '@valelead/common';
 import {
-	type ChannelPool, LeaderCalls, type SessionReport, type SessionUpdate, SessionReportSchema,
+	type ChannelPool, LeaderClient, type SessionReport, type SessionUpdate, SessionReportSchema,
 } from '@valelead/protocol';
 import type {Logger} from 'pino';
 import {startAdminServer} from '../admin-server.js';
@@ -12,7 +12,7 @@
 import {Metrics} from '../metrics/metrics.js';
 import type {EntrySettings} from '../settings/entry-settings.js';
 import type {Stoppable} from '../stoppable.js';
-import {getStartMs} from '../get-start-ms.js';
+import {getStartupDurationMs} from '../get-startup-duration-ms.js';
 import {ADMISSION_DEFAULTS} from './admission-defaults.js';
 import {CallerServer} from './caller-server.js';
 import {ClaimClient} from './claim-client.js';
@@ -68,7 +68,7 @@
 				this.#metrics.configurationAge.set(this.#follower.ageMs / MS_PER_SECOND);
 			},
 		});
-		logger.info({event: 'started', startMs: getStartMs()}, 'entry started');
+		logger.info({event: 'started', startMs: getStartupDurationMs()}, 'entry started');
 	}
 
 	/** Fails readiness, waits for the load balancer to notice, refuses requests that could not end in time and waits for the remaining ones. */
@@ -106,7 +106,7 @@
 			metrics: this.#metrics,
 			getIntent: () => this.#follower.intent,
 			onColdDemand: () => {
-				this.#session.reportSoon();
+				this.#session.scheduleReport();
 			},
 			onEnd: (exchange, code) => {
 				this.#logEnd(exchange, code);
@@ -146,9 +146,9 @@
 		});
 	}
 
-	#newLeaderCalls(): LeaderCalls {
+	#newLeaderCalls(): LeaderClient {
 		const {settings, timers, pool} = this.#parts;
-		return new LeaderCalls(pool, settings.controlAddresses, timers);
+		return new LeaderClient(pool, settings.controlAddresses, timers);
 	}
 
 	#newReport(sentAt: number): SessionReport {
--- a/apps/valelead-daemon/src/entry/key-index.ts
+++ b/apps/valelead-daemon/src/entry/key-index.ts
@@ -1,4 +1,4 @@
-import {type KeyTable, getKeyHolder, newKeyTable} from '@valelead/access';
+import {type KeyTable, getTeamOfKey, newKeyTable} from '@valelead/access';
 import type {Intent, Team} from '@valelead/intent';
 
 /** Finds the team that a bearer key belongs to. Stores only hashes of the keys. */
@@ -14,7 +14,7 @@
 	/** Returns the team of the key in an Authorization header, or undefined if there is no known key. */
 	findTeam(intent: Intent, authorization: string | undefined): Team | undefined {
 		const key = /^Bearer (?<key>\S+)$/v.exec(authorization ?? '')?.groups?.key;
-		const name = key === undefined ? undefined : getKeyHolder(this.#table, key);
+		const name = key === undefined ? undefined : getTeamOfKey(this.#table, key);
 		return name === undefined ? undefined : intent.teams.get(name);
 	}
 }
--- a/apps/valelead-daemon/src/entry/stream-sink.ts
+++ b/apps/valelead-daemon/src/entry/stream-sink.ts
@@ -2,7 +2,7 @@
 import type {ServerResponse} from 'node:http';
 import {EventSplitter, isEventStream} from '@valelead/answer';
 import type {TimerService, TimerSubscription} from '@valelead/common';
-import {breakOff} from '../break-off.js';
+import {abortResponse} from '../abort-response.js';
 import {newRefusalBody} from './new-refusal-body.js';
 import {writeRefusal} from './write-refusal.js';
 import type {ResponseSink} from './response-sink.js';
@@ -45,7 +45,7 @@
 		}
 
 		if (this.#response.writableLength > MAX_BUFFERED_BYTES) {
-			breakOff(this.#response);
+			abortResponse(this.#response);
 			return;
 		}
 
@@ -71,7 +71,7 @@
 		}
 
 		this.#stallTimer = this.#timers.after(this.#stallMs, () => {
-			breakOff(this.#response);
+			abortResponse(this.#response);
 		});
 		this.#response.once('drain', () => {
 			this.#stallTimer?.cancel();
--- a/apps/valelead-daemon/src/exit-with-logs.ts
+++ b/apps/valelead-daemon/src/flush-logs-and-exit.ts
@@ -6,7 +6,7 @@
 const FLUSH_TIMEOUT_MS = 300;
 
 /** Flushes the log and exits the process. If the flush takes too long, the process kills itself. */
-export const exitWithLogs = (logger: Logger, status: number): void => {
+export const flushLogsAndExit = (logger: Logger, status: number): void => {
 	// The daemon's own timer service has already been stopped.
 	new TimerService(SYSTEM_CLOCK).after(FLUSH_TIMEOUT_MS, () => {
 		// `process.exit` would wait for a log write that is blocked by its reader.
--- a/apps/valelead-daemon/src/follower/gateway-count.ts
+++ b/apps/valelead-daemon/src/follower/gateway-count.ts
@@ -1,4 +1,4 @@
-import {type Clock, type SuspensionWatch, LeaseEnd} from '@valelead/common';
+import {type Clock, type SuspensionWatch, Lease} from '@valelead/common';
 
 type CountParts = {
 	readonly clock: Clock;
@@ -36,7 +36,7 @@
 /** Tracks how many gateways share the budgets, including this one, from the updates of leaders. */
 export class GatewayCount {
 	readonly #clock: Clock;
-	readonly #lease: LeaseEnd;
+	readonly #lease: Lease;
 	#value = 1;
 	/** When a count was last accepted, in monotonic milliseconds. */
 	#acceptedAt = 0;
@@ -46,7 +46,7 @@
 
 	constructor({clock, suspensions}: CountParts) {
 		this.#clock = clock;
-		this.#lease = new LeaseEnd({clock, suspensions, lengthMs: SHARE_LEASE_MS});
+		this.#lease = new Lease({clock, suspensions, lengthMs: SHARE_LEASE_MS});
 	}
 
 	/** The number of gateways, at least 1. */
@@ -59,12 +59,12 @@
 	 * counts it. Before this time other gateways may have spent this share, because they did not know of this gateway yet.
 	 */
 	get countedSince(): number | undefined {
-		return this.#lease.isOver ? undefined : this.#countedSince;
+		return this.#lease.isExpired ? undefined : this.#countedSince;
 	}
 
 	/** True if this gateway got its share before any gateway could spend from the budget, so that the whole share is unspent. */
 	get isUnspent(): boolean {
-		return this.#unspentShares > 0 && !this.#lease.isOver;
+		return this.#unspentShares > 0 && !this.#lease.isExpired;
 	}
 
 	/** Number of shares into which the retry budget is divided; one of them belongs to this gateway. */
@@ -81,8 +81,8 @@
 			this.#acceptedAt = now;
 		}
 
-		const wasOver = this.#lease.isOver;
-		if (isServing && count > 0 && this.#lease.confirm(askedAt) && wasOver) {
+		const wasOver = this.#lease.isExpired;
+		if (isServing && count > 0 && this.#lease.renew(askedAt) && wasOver) {
 			this.#countedSince = now;
 			this.#unspentShares = unspentShares;
 		}
--- a/apps/valelead-daemon/src/follower/routing-follower.ts
+++ b/apps/valelead-daemon/src/follower/routing-follower.ts
@@ -4,7 +4,7 @@
 	type Clock, type SuspensionWatch, type TimerService, ValeleadError,
 } from '@valelead/common';
 import {
-	type DirectoryCopy, type Upstream, type UpstreamChange, mutateDirectoryCopy, mutateUnconfirmed, newDirectoryCopy,
+	type DirectoryCopy, type Upstream, type UpstreamChange, mutateDirectoryCopy, mutateUnconfirmedUpstreams, newDirectoryCopy,
 } from '@valelead/discovery';
 import {
 	type ChannelPool,
@@ -16,7 +16,7 @@
 	EndedLeaseSchema,
 	FollowerReportSchema,
 	HeldLeaseSchema,
-	LeaderCalls,
+	LeaderClient,
 	SessionReportSchema,
 } from '@valelead/protocol';
 import {type RouteTable, newRouteTable} from '@valelead/routing';
@@ -62,7 +62,7 @@
 /** Follows the leader: keeps the newest routing and the directory of upstreams that it sends. Neither is ever replaced by an older version. */
 export class RoutingFollower {
 	readonly #parts: FollowerParts;
-	readonly #leader: LeaderCalls;
+	readonly #leader: LeaderClient;
 	readonly #session: SessionClient;
 	readonly #copy: DirectoryCopy = newDirectoryCopy();
 	#table: RouteTable | undefined;
@@ -76,7 +76,7 @@
 		this.#parts = parts;
 		this.#gateways = new GatewayCount(parts);
 		this.#updatedAt = parts.clock.now();
-		this.#leader = new LeaderCalls(parts.pool, getPeerAddresses(parts.settings), parts.timers);
+		this.#leader = new LeaderClient(parts.pool, getPeerAddresses(parts.settings), parts.timers);
 		this.#session = new SessionClient({
 			pool: parts.pool,
 			leader: this.#leader,
@@ -117,7 +117,7 @@
 
 	/** Schedules a report to the leader, after something that is reported has changed. */
 	scheduleReport(): void {
-		this.#session.reportSoon();
+		this.#session.scheduleReport();
 	}
 
 	/** Time since the last update of the leader, in milliseconds. */
@@ -128,7 +128,7 @@
 	start(): void {
 		this.#session.start();
 		this.#parts.timers.repeat(CHECK_MS, now => {
-			if (mutateUnconfirmed(this.#copy, CONFIRM_MS, now)) {
+			if (mutateUnconfirmedUpstreams(this.#copy, CONFIRM_MS, now)) {
 				this.#publishDirectory();
 			}
 		});
@@ -139,8 +139,8 @@
 	}
 
 	#newReport(sentAt: number, isFirst: boolean): SessionReport {
-		const {settings, orderLeases: duties} = this.#parts;
-		const {leases, endedLeases, keeperAddress, isStopping, attendedEngines} = duties.getReport();
+		const {settings, orderLeases: orderLeases} = this.#parts;
+		const {leases, endedLeases, keeperAddress, isStopping, attendedEngines} = orderLeases.getReport();
 		// Their number only grows, and the leader remembers them for the session.
 		const hasNewEngines = isFirst || attendedEngines.length !== this.#reportedEngineCount;
 		this.#reportedEngineCount = attendedEngines.length;
@@ -187,7 +187,7 @@
 		this.#parts.crashes?.noteReported(update.sentAt, update.isCrashLeaseGranted);
 		this.#parts.crashes?.noteReachableGatewaysApplied(update.crashesKnownUntil);
 		this.#parts.crashes?.noteAllGatewaysApplied(update.crashesObeyedUntil);
-		this.#leader.learn(update.voterAddresses);
+		this.#leader.updateVoterAddresses(update.voterAddresses);
 		this.#parts.orderLeases.handleUpdate({
 			leases: update.leases, ordersFromMs: update.ordersFromMs, holdersKnownInMs: update.holdersKnownInMs, reportedAt: update.sentAt,
 		});
@@ -200,7 +200,7 @@
 		}
 
 		if (update.isReportWanted) {
-			this.#session.reportSoon();
+			this.#session.scheduleReport();
 		}
 	}
 
--- a/apps/valelead-daemon/src/gateway/completion-recorder.ts
+++ b/apps/valelead-daemon/src/gateway/completion-recorder.ts
@@ -40,7 +40,7 @@
 	recordAborted({arrivedAt}: GatewayRequest): void {
 		const grace = this.#parts.getGrace();
 		const isLate = grace !== undefined && arrivedAt >= grace.startedAt;
-		this.#parts.metrics.stopCuts.inc({arrived: isLate ? 'after' : 'before'});
+		this.#parts.metrics.requestsAbortedAtStop.inc({arrived: isLate ? 'after' : 'before'});
 	}
 
 	#measure({caller, route, arrivedAt, dispatchedAt, firstChunkAt}: GatewayRequest, code: ResultCodeValue, now: number): void {
--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -154,20 +154,20 @@
 		// If the request caused the crash, a retry would crash the next upstream too. If not, it could run beside the actual cause again and be blamed.
 		const hadBegun = isPossibleCause && phase === SUSPECT_PHASE.Begun;
 		const isSuspected = this.#quarantine.isSuspected(fingerprint);
-		const mostMs = isPossibleCause ? this.#getHoldMs(hadBegun) : 0;
+		const maxDeferMs = isPossibleCause ? this.#getHoldMs(hadBegun) : 0;
 		if (!isServedRecently) {
 			this.#observer.recordBrokenConnection({upstreamId: id, address, suspect: {fingerprint, phase}});
 		}
 
-		if (mostMs === 0) {
+		if (maxDeferMs === 0) {
 			passOn(isSuspected || hadBegun);
 			return;
 		}
 
 		const heldAt = this.#parts.clock.now();
-		const getMoreMs = () => this.#observer.isCrashed(id) ? this.#quarantine.peerLeasesExpireInMs : 0;
+		const getExtensionMs = () => this.#observer.isCrashed(id) ? this.#quarantine.peerLeasesExpireInMs : 0;
 		this.#losses.defer({
-			runId: id, isCrashed: this.#observer.isCrashed(id), maxDeferMs: mostMs, ...(hadBegun && {getExtensionMs: getMoreMs}),
+			runId: id, isCrashed: this.#observer.isCrashed(id), maxDeferMs: maxDeferMs, ...(hadBegun && {getExtensionMs: getExtensionMs}),
 		}, isAlive => {
 			this.#parts.logger.info({
 				event: 'loss-held', requestId: request.head.id, upstreamId: id, phase, heldMs: Math.round(this.#parts.clock.now() - heldAt),
--- a/apps/valelead-daemon/src/gateway/crash-lease.ts
+++ b/apps/valelead-daemon/src/gateway/crash-lease.ts
@@ -1,4 +1,4 @@
-import {type Clock, type SuspensionWatch, LeaseEnd} from '@valelead/common';
+import {type Clock, type SuspensionWatch, Lease} from '@valelead/common';
 import {BEGUN_CRASH_THRESHOLD, CRASH_LEASE_MS} from '@valelead/quarantine';
 import {PEER_LEASES_EXPIRY_MS} from './peer-leases-expiry-ms.js';
 
@@ -16,20 +16,20 @@
  */
 export class CrashLease {
 	readonly #parts: LeaseParts;
-	readonly #end: LeaseEnd;
+	readonly #end: Lease;
 
 	constructor(parts: LeaseParts) {
 		this.#parts = parts;
-		this.#end = new LeaseEnd({...parts, lengthMs: CRASH_LEASE_MS});
+		this.#end = new Lease({...parts, lengthMs: CRASH_LEASE_MS});
 	}
 
 	get isOver(): boolean {
-		return this.#end.isOver;
+		return this.#end.isExpired;
 	}
 
 	/** Time until all leases that other gateways got while this gateway held its own have expired, in milliseconds; 0 once they have. */
 	get peerLeasesExpireInMs(): number {
-		return Math.max(0, this.#end.at - CRASH_LEASE_MS + PEER_LEASES_EXPIRY_MS - this.#parts.clock.now());
+		return Math.max(0, this.#end.expiresAt - CRASH_LEASE_MS + PEER_LEASES_EXPIRY_MS - this.#parts.clock.now());
 	}
 
 	/**
@@ -45,6 +45,6 @@
 	 * @param askedAt - When the report that the leader answered was created, in monotonic milliseconds.
 	 */
 	confirm(askedAt: number): void {
-		this.#end.confirm(askedAt);
+		this.#end.renew(askedAt);
 	}
 }
--- a/apps/valelead-daemon/src/gateway/deferred-failures.ts
+++ b/apps/valelead-daemon/src/gateway/deferred-failures.ts
@@ -37,12 +37,12 @@
 	}
 
 	/** @param release - Ends the deferral. `isAlive` is true if the upstream turned out to be alive, so that only its connections were lost. */
-	defer({runId, isCrashed, maxDeferMs: mostMs, getExtensionMs: getMoreMs}: FailedAttempt, release: (isAlive: boolean) => void): void {
+	defer({runId, isCrashed, maxDeferMs: maxDeferMs, getExtensionMs: getExtensionMs}: FailedAttempt, release: (isAlive: boolean) => void): void {
 		const failure: DeferredFailure = {
-			runId, crashedAt: isCrashed ? this.#clock.now() : undefined, isStrict: getMoreMs !== undefined, release,
+			runId, crashedAt: isCrashed ? this.#clock.now() : undefined, isStrict: getExtensionMs !== undefined, release,
 		};
 		this.#failures.add(failure);
-		this.#releaseAfter(failure, mostMs, getMoreMs);
+		this.#releaseAfter(failure, maxDeferMs, getExtensionMs);
 	}
 
 	/** Marks the deferred failures of an upstream run that has crashed. */
--- a/apps/valelead-daemon/src/gateway/gateway.ts
+++ b/apps/valelead-daemon/src/gateway/gateway.ts
@@ -11,12 +11,12 @@
 import {RoutingConfirmation} from '../follower/routing-confirmation.js';
 import {RoutingFollower} from '../follower/routing-follower.js';
 import {GrpcServer} from '../grpc-server.js';
-import {EngineKeepers} from '../keeping/engine-keepers.js';
+import {EngineManagers} from '../keeping/engine-managers.js';
 import {Metrics} from '../metrics/metrics.js';
 import type {GatewaySettings} from '../settings/gateway-settings.js';
 import {newResidencyService} from '../sidecar/new-residency-service.js';
 import type {Stoppable} from '../stoppable.js';
-import {getStartMs} from '../get-start-ms.js';
+import {getStartupDurationMs} from '../get-startup-duration-ms.js';
 import {newServerCredentials} from '../tls/new-server-credentials.js';
 import {newPortCheck} from './new-port-check.js';
 import {newGatewayAdmission} from './new-gateway-admission.js';
@@ -64,7 +64,7 @@
 	readonly #metrics = new Metrics();
 	readonly #follower: RoutingFollower;
 	readonly #residency: ResidencyClients;
-	readonly #engineManagers: EngineKeepers;
+	readonly #engineManagers: EngineManagers;
 	readonly #residencyServer: GrpcServer;
 	readonly #confirmation: RoutingConfirmation;
 	readonly #intake: RequestReceiver;
@@ -93,7 +93,7 @@
 				this.#follower.scheduleReport();
 			},
 		});
-		this.#engineManagers = new EngineKeepers({
+		this.#engineManagers = new EngineManagers({
 			holder: settings.vm,
 			keeperAddress: `${settings.host}:${settings.sidecarPort}`,
 			concurrentStoreLoads: settings.concurrentStoreLoads,
@@ -191,7 +191,7 @@
 				this.#metrics.quarantinedRequests.set(this.#dispatcher.quarantinedCount);
 			},
 		});
-		logger.info({event: 'started', http: settings.http, startMs: getStartMs()}, 'gateway started');
+		logger.info({event: 'started', http: settings.http, startMs: getStartupDurationMs()}, 'gateway started');
 	}
 
 	/**
--- a/apps/valelead-daemon/src/gateway/get-caller-check.ts
+++ b/apps/valelead-daemon/src/gateway/get-caller-check.ts
@@ -1,4 +1,4 @@
-import {getKeyHolder} from '@valelead/access';
+import {getTeamOfKey} from '@valelead/access';
 import {RESULT_CODE} from '@valelead/common';
 import {type Quota, QUOTA_UNIT, getRequestCost} from '@valelead/quota';
 import {
@@ -38,7 +38,7 @@
 		return route.isOpen ? newKnown(terms, undefined) : {kind: 'refused', code: RESULT_CODE.ConfigurationTooOld};
 	}
 
-	const holder = head.key === undefined ? undefined : getKeyHolder(table.keys, head.key);
+	const holder = head.key === undefined ? undefined : getTeamOfKey(table.keys, head.key);
 	const team = holder === undefined ? undefined : table.teams.get(holder);
 	return team === undefined && !route.isOpen ? {kind: 'refused', code: RESULT_CODE.Unauthenticated} : newKnown(terms, team);
 };
--- a/apps/valelead-daemon/src/gateway/http-response-writer.ts
+++ b/apps/valelead-daemon/src/gateway/http-response-writer.ts
@@ -1,7 +1,7 @@
 import type {Buffer} from 'node:buffer';
 import type {ServerResponse} from 'node:http';
 import {RESULT_DETAILS} from '@valelead/common';
-import {breakOff} from '../break-off.js';
+import {abortResponse} from '../abort-response.js';
 import type {Refusal} from '../entry/refusal.js';
 import {newRefusalBody} from '../entry/new-refusal-body.js';
 import type {ResponseWriter} from './response-writer.js';
@@ -68,7 +68,7 @@
 
 		response.write(chunk);
 		if (response.writableLength > MAX_BUFFERED_BYTES) {
-			breakOff(response);
+			abortResponse(response);
 		}
 	}
 
@@ -86,7 +86,7 @@
 		}
 
 		if (response.headersSent) {
-			breakOff(response);
+			abortResponse(response);
 			return;
 		}
 
--- a/apps/valelead-daemon/src/gateway/load-candidates.ts
+++ b/apps/valelead-daemon/src/gateway/load-candidates.ts
@@ -88,17 +88,17 @@
 	#updateStoreLimit(views: readonly EngineView[]): void {
 		const before = this.#storeLimit.maxFetches;
 		mutateStoreConcurrencyLimit(this.#storeLimit, views.flatMap(view => getFetches(view)));
-		const {maxFetches: atOnce, fetches} = this.#storeLimit;
-		if (atOnce !== before) {
-			this.#parts.onStoreLimitChange({atOnce, before, underWay: fetches.size});
+		const {maxFetches: maxFetches, fetches} = this.#storeLimit;
+		if (maxFetches !== before) {
+			this.#parts.onStoreLimitChange({atOnce: maxFetches, before, underWay: fetches.size});
 		}
 	}
 
 	/** True if the engine may fetch the model from the weight store, or has loaded the model and need not fetch it. */
-	#isFetchAllowed(service: string, {upstreamId, isLoaded: isHeld}: LoadCandidate): boolean {
+	#isFetchAllowed(service: string, {upstreamId, isLoaded: isLoaded}: LoadCandidate): boolean {
 		const storeFetchers = this.#storeFetchers.get(service) ?? this.#newStoreFetchers(service);
 		this.#storeFetchers.set(service, storeFetchers);
-		return isHeld || storeFetchers.has(upstreamId);
+		return isLoaded || storeFetchers.has(upstreamId);
 	}
 
 	#newStoreFetchers(service: string): ReadonlySet<string> {
--- a/apps/valelead-daemon/src/gateway/request-server.ts
+++ b/apps/valelead-daemon/src/gateway/request-server.ts
@@ -19,7 +19,7 @@
 	constructor(address: string, handler: RequestHandler) {
 		this.#address = address;
 		this.#server = createServer({maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0, noDelay: true}, (message, response) => {
-			this.#connections.note(response);
+			this.#connections.addResponse(response);
 			void handler.handle(message, response);
 		});
 		this.#server.on('connection', socket => {
--- a/apps/valelead-daemon/src/keeping/engine-keepers.ts
+++ b/apps/valelead-daemon/src/keeping/engine-managers.ts
@@ -1,5 +1,5 @@
 import {
-	type Clock, type SuspensionWatch, type TimerService, LeaseEnd,
+	type Clock, type SuspensionWatch, type TimerService, Lease,
 } from '@valelead/common';
 import type {Upstream} from '@valelead/discovery';
 import {ORDER_LEASE_MS} from '@valelead/order-lease';
@@ -10,10 +10,10 @@
 import type {OrderLeaseUpdate} from '../follower/order-lease-update.js';
 import type {OrderLeaseReport} from '../follower/order-lease-report.js';
 import {EngineClient} from '../sidecar/engine-client.js';
-import {EngineKeeper} from '../sidecar/engine-keeper.js';
+import {EngineManager} from '../sidecar/engine-manager.js';
 import {newCapacity} from '../sidecar/new-capacity.js';
 import {newEngineCopies} from '../sidecar/new-engine-copies.js';
-import {REMOTE_POLLS} from './remote-polls.js';
+import {REMOTE_POLL_INTERVALS} from './remote-poll-intervals.js';
 
 type EngineManagersOptions = {
 	readonly holder: string;
@@ -32,7 +32,7 @@
 	readonly lease: HeldLease;
 	readonly startsAt: number;
 	readonly client: EngineClient;
-	readonly manager: EngineKeeper;
+	readonly manager: EngineManager;
 };
 
 /** An order takes up to this long to reach its engine, in milliseconds, so no order is sent in this last part of a lease. */
@@ -42,26 +42,26 @@
 const ENDED_REPORTED_MS = 10_000;
 
 /** Runs one manager for each engine whose order lease this process holds; the manager sends the engine its orders. */
-export class EngineKeepers {
+export class EngineManagers {
 	readonly #parts: EngineManagersOptions;
 	readonly #managed = new Map<string, ManagedEngine>();
 	#table: RouteTable | undefined;
 	#upstreams: readonly Upstream[] = [];
 	/** The end of the leases; it is the same for all leases of this process. */
-	readonly #leaseEnd: LeaseEnd;
+	readonly #leaseEnd: Lease;
 	/** When this process released engines to which it may have sent orders, by engine address, in monotonic milliseconds. */
 	readonly #endedLeases = new Map<string, number>();
 	#isStopped = false;
 
 	constructor(parts: EngineManagersOptions) {
 		this.#parts = parts;
-		this.#leaseEnd = new LeaseEnd({...parts, lengthMs: ORDER_LEASE_MS});
+		this.#leaseEnd = new Lease({...parts, lengthMs: ORDER_LEASE_MS});
 	}
 
 	/** Returns this process's part of the report to the leader. Ended leases are listed separately from current ones. */
 	getReport(): Pick<OrderLeaseReport, 'keeperAddress' | 'leases' | 'endedLeases'> {
 		const now = this.#parts.clock.now();
-		const managed = this.#leaseEnd.isOver ? [] : [...this.#managed.values()];
+		const managed = this.#leaseEnd.isExpired ? [] : [...this.#managed.values()];
 		return {
 			endedLeases: this.#getEnded(now),
 			keeperAddress: this.#parts.keeperAddress,
@@ -69,13 +69,13 @@
 		};
 	}
 
-	get(engineAddress: string): EngineKeeper | undefined {
+	get(engineAddress: string): EngineManager | undefined {
 		return this.#managed.get(engineAddress)?.manager;
 	}
 
 	/** Applies the leader's full list of leases for this process: starts managing new engines and releases engines that are not on the list. */
 	take({leases, reportedAt}: OrderLeaseUpdate): void {
-		if (this.#isStopped || !this.#leaseEnd.confirm(reportedAt)) {
+		if (this.#isStopped || !this.#leaseEnd.renew(reportedAt)) {
 			return;
 		}
 
@@ -122,7 +122,7 @@
 			}
 		}
 
-		const over = this.#leaseEnd.isOver ? [...this.#managed].filter(([, {startsAt}]) => startsAt < this.#leaseEnd.at).map(([address]) => [address, this.#leaseEnd.at] as const) : [];
+		const over = this.#leaseEnd.isExpired ? [...this.#managed].filter(([, {startsAt}]) => startsAt < this.#leaseEnd.expiresAt).map(([address]) => [address, this.#leaseEnd.expiresAt] as const) : [];
 		return [...this.#endedLeases, ...over].map(([engineAddress, at]) => ({engineAddress, agoMs: Math.max(0, now - at)}));
 	}
 
@@ -130,8 +130,8 @@
 		const {holder, concurrentStoreLoads, codec, timers, clock, logger} = this.#parts;
 		const {engineAddress, fence, startsInMs} = lease;
 		const client = new EngineClient(engineAddress, codec);
-		const manager = new EngineKeeper({
-			holder, concurrentStoreLoads, client, timers, clock, logger, fence, polls: REMOTE_POLLS, getOrdersEnd: () => this.#leaseEnd.at - ORDER_TRANSIT_MS,
+		const manager = new EngineManager({
+			holder, concurrentStoreLoads, client, timers, clock, logger, fence, pollIntervals: REMOTE_POLL_INTERVALS, getOrdersEnd: () => this.#leaseEnd.expiresAt - ORDER_TRANSIT_MS,
 		});
 		const startsAt = clock.now() + startsInMs;
 		this.#managed.set(engineAddress, {
@@ -150,7 +150,7 @@
 		const now = this.#parts.clock.now();
 		this.#managed.delete(address);
 		if (managed.startsAt < now) {
-			this.#endedLeases.set(address, Math.min(now, this.#leaseEnd.at));
+			this.#endedLeases.set(address, Math.min(now, this.#leaseEnd.expiresAt));
 		}
 
 		managed.manager.stop();
@@ -158,7 +158,7 @@
 		this.#parts.logger.info({event: 'engine-released', address, fence: managed.lease.fence}, 'this process no longer sends orders to the engine');
 	}
 
-	#updateManager(address: string, manager: EngineKeeper): void {
+	#updateManager(address: string, manager: EngineManager): void {
 		const upstream = this.#upstreams.findLast(other => other.address === address);
 		if (!upstream) {
 			return;
@@ -166,7 +166,7 @@
 
 		manager.setEngines(newEngineCopies(this.#upstreams, upstream.service));
 		manager.setRun(upstream);
-		manager.setAnnounced(upstream);
+		manager.applyAnnouncement(upstream);
 		manager.setCapacity(this.#table && newCapacity(this.#table, upstream.service));
 	}
 }
--- a/apps/valelead-daemon/src/keeping/remote-polls.ts
+++ b/apps/valelead-daemon/src/keeping/remote-poll-intervals.ts
@@ -5,6 +5,6 @@
  * hundred milliseconds old. Only orders of this process change the engine's models, and the engine announces when an order has ended, so
  * polls are rare: they serve to detect loaded adapters, and to recover from lost announcements.
  */
-export const REMOTE_POLLS: PollIntervals = {
+export const REMOTE_POLL_INTERVALS: PollIntervals = {
 	idleMs: 3000, busyMs: 400, endingMs: 150, adapterMs: 100, maxStatusAgeMs: 400, minIntervalMs: 20,
 };
--- a/apps/valelead-daemon/src/metrics/metrics.ts
+++ b/apps/valelead-daemon/src/metrics/metrics.ts
@@ -24,7 +24,7 @@
 	/** Set by the leader: for how long followers applied an older routing configuration after a newer one was committed. */
 	readonly routingLag: Histogram<'role'>;
 	/** Set by the leader: number of engines that no process manages. */
-	readonly unattendedEngines: Gauge;
+	readonly unmanagedEngines: Gauge;
 	/** Number of voters of the quorum, of reachable voters, and of simultaneous voter failures that the quorum tolerates, as known to this voter. */
 	readonly voters: Gauge;
 	readonly reachableVoters: Gauge;
@@ -36,7 +36,7 @@
 	/** Attempts that the gateway ended before their responses were complete, by whether the response had begun. */
 	readonly cancelledAttempts: Counter<'answered'>;
 	/** Requests that were aborted at the end of the grace period, by whether they had arrived before or after the stop signal. */
-	readonly stopCuts: Counter<'arrived'>;
+	readonly requestsAbortedAtStop: Counter<'arrived'>;
 	/** Retries, by service and by whether the retry budget of the service allowed them: `sent` or `refused`. */
 	readonly retries: Counter<'service' | 'result'>;
 	/** Number of upstreams that announce a request rate limit, as known to this gateway. */
@@ -74,7 +74,7 @@
 			buckets: SECONDS_BUCKETS,
 			registers,
 		});
-		this.unattendedEngines = new Gauge({name: 'valelead_unattended_engines', help: 'Engines that announce themselves and that no process gives orders to, as the leader knows.', registers});
+		this.unmanagedEngines = new Gauge({name: 'valelead_unattended_engines', help: 'Engines that announce themselves and that no process gives orders to, as the leader knows.', registers});
 		this.voters = new Gauge({name: 'valelead_quorum_voters', help: 'Voters of the quorum.', registers});
 		this.reachableVoters = new Gauge({name: 'valelead_quorum_heard_voters', help: 'Voters of the quorum that this voter has heard lately, itself included.', registers});
 		this.toleratedLosses = new Gauge({name: 'valelead_quorum_borne_losses', help: 'Voters that may be lost at once while the rest is a majority.', registers});
@@ -89,7 +89,7 @@
 			labelNames: ['answered'],
 			registers,
 		});
-		this.stopCuts = new Counter({
+		this.requestsAbortedAtStop = new Counter({
 			name: 'valelead_stop_cuts_total',
 			help: 'Requests that were broken off as the gateway stopped, by whether they had come before or after the stop signal.',
 			labelNames: ['arrived'],
--- a/apps/valelead-daemon/src/run-daemon.ts
+++ b/apps/valelead-daemon/src/run-daemon.ts
@@ -10,7 +10,7 @@
 import {startController} from './controller/start-controller.js';
 import {startEntry} from './entry/start-entry.js';
 import {startGateway} from './gateway/start-gateway.js';
-import {exitWithLogs} from './exit-with-logs.js';
+import {flushLogsAndExit} from './flush-logs-and-exit.js';
 import {newLogger} from './logger.js';
 import {loadSettingsOrExit} from './settings/load-settings-or-exit.js';
 import {SettingsFileWatch} from './settings/settings-file-watch.js';
@@ -141,10 +141,10 @@
 			file, text, settings, logger, adapter,
 		}));
 		logger.info({event: 'stopped'}, 'stopped');
-		exitWithLogs(logger, 0);
+		flushLogsAndExit(logger, 0);
 	} catch (error) {
 		const code = error instanceof ValeleadError ? error.code : RESULT_CODE.Internal;
 		logger.fatal({event: 'start-failed', code, reason: (error as Error).message}, 'start failed');
-		exitWithLogs(logger, 1);
+		flushLogsAndExit(logger, 1);
 	}
 };
--- a/apps/valelead-daemon/src/session-client.ts
+++ b/apps/valelead-daemon/src/session-client.ts
@@ -2,7 +2,7 @@
 	type Clock, type TimerService, type TimerSubscription, Coalescer,
 } from '@valelead/common';
 import {
-	type ChannelPool, type LeaderCalls, type SessionReport, type SessionUpdate, Control,
+	type ChannelPool, type LeaderClient, type SessionReport, type SessionUpdate, Control,
 } from '@valelead/protocol';
 import type {ClientDuplexStream} from '@grpc/grpc-js';
 import type {Logger} from 'pino';
@@ -11,7 +11,7 @@
 
 type SessionParts = {
 	readonly pool: ChannelPool;
-	readonly leader: LeaderCalls;
+	readonly leader: LeaderClient;
 	readonly timers: TimerService;
 	readonly clock: Clock;
 	readonly logger: Logger;
@@ -107,7 +107,7 @@
 	}
 
 	/** Schedules a report. Changes until it is sent share the same report. */
-	reportSoon(): void {
+	scheduleReport(): void {
 		this.#reports.schedule();
 	}
 
@@ -189,12 +189,12 @@
 	/** Advances in the list to the next voter that has not recently been silent, if there is one. */
 	#skipSilentVoters(): void {
 		const {leader, clock} = this.#parts;
-		if (leader.isNamed) {
+		if (leader.isLeaderKnown) {
 			return;
 		}
 
 		const now = clock.now();
-		for (let skipped = 0; skipped < leader.count && this.#wasRecentlySilent(leader.address, now); skipped += 1) {
+		for (let skipped = 0; skipped < leader.voterAddressCount && this.#wasRecentlySilent(leader.address, now); skipped += 1) {
 			leader.redirect('');
 		}
 	}
@@ -261,7 +261,7 @@
 		}
 
 		this.#outsideRound.skippedCount += 1;
-		return this.#outsideRound.skippedCount < this.#parts.leader.count;
+		return this.#outsideRound.skippedCount < this.#parts.leader.voterAddressCount;
 	}
 
 	#cancelStream(stream: SessionStream): void {
--- a/apps/valelead-daemon/src/sidecar/engine-client.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-client.ts
@@ -3,7 +3,7 @@
 import {ORDER_RESULT} from '@valelead/residency';
 import type {EngineCodec} from '../adapter/engine-codec.js';
 import type {HttpCall} from '../adapter/http-call.js';
-import type {OrderTerms} from '../adapter/order-terms.js';
+import type {ConditionalOrder} from '../adapter/conditional-order.js';
 import {getHost} from '../get-host.js';
 import {getPort} from '../get-port.js';
 import {readBody} from '../read-body.js';
@@ -46,7 +46,7 @@
 	}
 
 	/** Sends an order. If no response arrives, the result is `Unknown`: the engine may have accepted the order, or may still execute it later. */
-	async order(terms: OrderTerms): Promise<OrderReply> {
+	async order(terms: ConditionalOrder): Promise<OrderReply> {
 		try {
 			const answer = await this.#call(this.#codec.newOrderCall(terms), ORDER_TIMEOUT_MS);
 			const body = await readBody(answer, MAX_BODY_BYTES);
--- a/apps/valelead-daemon/src/sidecar/engine-manager-options.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-manager-options.ts
@@ -14,7 +14,7 @@
 	readonly logger: Logger;
 	/** The fencing token of the orders. */
 	readonly fence: number;
-	readonly polls: PollIntervals;
+	readonly pollIntervals: PollIntervals;
 	/** Returns the time after which no order may be sent, in monotonic milliseconds. Absent if no other process may send orders to the engine. */
 	readonly getOrdersEnd?: () => number;
 };
--- a/apps/valelead-daemon/src/sidecar/engine-keeper.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-manager.ts
@@ -6,7 +6,7 @@
 import type {Run, Upstream} from '@valelead/discovery';
 import type {EngineStatus} from '../adapter/engine-status.js';
 import {KnownRun} from './known-run.js';
-import {KnownStatus} from './known-status.js';
+import {LatestStatus} from './latest-status.js';
 import type {EngineManagerOptions} from './engine-manager-options.js';
 import {LoadDelayLog} from './load-delay-log.js';
 import {Prefetcher} from './prefetcher.js';
@@ -27,7 +27,7 @@
  * Decides which models one engine loads and unloads, from the needs that gateways report and the engine's newest status, and sends it one
  * order at a time.
  */
-export class EngineKeeper {
+export class EngineManager {
 	readonly #parts: EngineManagerOptions;
 	readonly #needs = new ReportedNeeds();
 	readonly #scheduler: RoundScheduler;
@@ -44,7 +44,7 @@
 	});
 
 	readonly #unanswered = new UnansweredOrders();
-	readonly #known = new KnownStatus();
+	readonly #known = new LatestStatus();
 	readonly #unloadNotice: UnloadNotice;
 	/** The model load in progress; undefined if no load that this manager ordered is known to be running. */
 	#loading: LoadInProgress | undefined;
@@ -55,7 +55,7 @@
 	constructor(parts: EngineManagerOptions) {
 		this.#parts = parts;
 		this.#scheduler = new RoundScheduler({
-			timers: parts.timers, clock: parts.clock, minIntervalMs: parts.polls.minIntervalMs, runRound: async () => this.#runRound(),
+			timers: parts.timers, clock: parts.clock, minIntervalMs: parts.pollIntervals.minIntervalMs, runRound: async () => this.#runRound(),
 		});
 		this.#unloadNotice = new UnloadNotice(parts.clock);
 		this.#prefetcher = new Prefetcher(parts);
@@ -103,8 +103,8 @@
 	}
 
 	/** Applies an announcement of an engine on another machine, which may show the end of an order sooner than a status poll does. */
-	setAnnounced(upstream: Upstream): void {
-		if (upstream.id === this.#run.id && this.#known.takeAnnounced(upstream, this.#parts.clock.now())) {
+	applyAnnouncement(upstream: Upstream): void {
+		if (upstream.id === this.#run.id && this.#known.applyAnnouncement(upstream, this.#parts.clock.now())) {
 			this.#loading = undefined;
 			this.#scheduler.wake();
 		}
@@ -132,7 +132,7 @@
 		}
 	}
 
-	forgetStream(streamId: string): void {
+	removeStream(streamId: string): void {
 		this.#needs.forget(streamId);
 		this.#publisher.schedulePublish();
 	}
@@ -175,14 +175,14 @@
 
 	/** Runs one planning round: polls the engine if needed, decides, and sends an order. Returns the time until the next round, in milliseconds. */
 	async #runRound(): Promise<number> {
-		const {polls} = this.#parts;
+		const {pollIntervals: polls} = this.#parts;
 		if (!this.#isFresh()) {
 			const status = await this.#reader.read();
 			if (!status || this.#scheduler.isStopped) {
 				return polls.idleMs;
 			}
 
-			if (!this.#known.take(status, this.#parts.clock.now())) {
+			if (!this.#known.update(status, this.#parts.clock.now())) {
 				return polls.endingMs;
 			}
 		}
@@ -209,16 +209,16 @@
 	}
 
 	#getBusyMs(): number {
-		return getBusyMs(this.#parts.polls, this.#loading, this.#parts.clock.now());
+		return getBusyMs(this.#parts.pollIntervals, this.#loading, this.#parts.clock.now());
 	}
 
 	#getPollMs(): number {
-		return this.#needs.hasWaitingRequests ? this.#parts.polls.busyMs : this.#parts.polls.idleMs;
+		return this.#needs.hasWaitingRequests ? this.#parts.pollIntervals.busyMs : this.#parts.pollIntervals.idleMs;
 	}
 
 	/** True if the known status is recent enough to decide on without polling the engine again. */
 	#isFresh(): boolean {
-		return this.#known.isCurrent && this.#reader.ageMs < this.#parts.polls.maxStatusAgeMs;
+		return this.#known.isCurrent && this.#reader.ageMs < this.#parts.pollIntervals.maxStatusAgeMs;
 	}
 
 	#decide(): EngineOrder | undefined {
@@ -293,7 +293,7 @@
 		const isLoad = order.kind === ORDER_KIND.Load && order.adapter === '' && reply.result === ORDER_RESULT.Accepted;
 		this.#loading = isLoad ? this.#newLoadInProgress(order.model, status, startedAt) : undefined;
 		if (reply.result === ORDER_RESULT.Accepted) {
-			this.#known.noteTaken(order, expectedSequence, startedAt);
+			this.#known.noteAccepted(order, expectedSequence, startedAt);
 		} else {
 			this.#reader.expire();
 		}
--- a/apps/valelead-daemon/src/sidecar/known-status.ts
+++ b/apps/valelead-daemon/src/sidecar/latest-status.ts
@@ -27,7 +27,7 @@
  * engine announces the end of an order at once; this class uses whichever shows more progress of the last order. In the simulated pattern
  * remote-orders, 89 of 100 requests for rare models are served in time with it, and 55 without it.
  */
-export class KnownStatus {
+export class LatestStatus {
 	#status: EngineStatus | undefined;
 	#accepted: AcceptedOrder | undefined;
 	/** True if an announcement has shown that the last order is done; a polled status may not show it yet. */
@@ -49,13 +49,13 @@
 		this.#isDone = false;
 	}
 
-	noteTaken(order: EngineOrder, expectedSequence: number, now: number): void {
+	noteAccepted(order: EngineOrder, expectedSequence: number, now: number): void {
 		this.#accepted = {order, sequence: expectedSequence + 1, until: now + STALE_MS};
 		this.#isDone = false;
 	}
 
 	/** Applies a polled status unless it is stale. Returns true if the known status may now be used for a decision. */
-	take(status: EngineStatus, now: number): boolean {
+	update(status: EngineStatus, now: number): boolean {
 		if (!this.#isStale(status, now)) {
 			this.#status = status;
 			this.#isDone = false;
@@ -66,7 +66,7 @@
 	}
 
 	/** Applies an announcement if it shows the end of the last order. Returns true if it does. */
-	takeAnnounced(announced: AnnouncedModels, now: number): boolean {
+	applyAnnouncement(announced: AnnouncedModels, now: number): boolean {
 		if (!this.#status || !this.#accepted || this.#isDone || !isDoneIn(this.#accepted.order, announced)) {
 			return false;
 		}
--- a/apps/valelead-daemon/src/sidecar/new-residency-service.ts
+++ b/apps/valelead-daemon/src/sidecar/new-residency-service.ts
@@ -1,14 +1,14 @@
 import {randomUUID} from 'node:crypto';
 import type {DemandReport, EngineReport} from '@valelead/protocol';
 import type {ServerDuplexStream, UntypedServiceImplementation} from '@grpc/grpc-js';
-import type {EngineKeeper} from './engine-keeper.js';
+import type {EngineManager} from './engine-manager.js';
 import type {EngineSummary} from './engine-summary.js';
 import {ReportEncoder} from './report-encoder.js';
 
 type FollowStream = ServerDuplexStream<DemandReport, EngineReport>;
 
 /** Connects a gateway's stream to an engine manager until the stream ends or the manager stops. */
-const serve = (stream: FollowStream, manager: EngineKeeper, encoder: ReportEncoder, first: DemandReport): void => {
+const serve = (stream: FollowStream, manager: EngineManager, encoder: ReportEncoder, first: DemandReport): void => {
 	// A gateway that reconnects may open a new stream before its old stream ends, so the gateway alone does not identify a stream.
 	const streamId = randomUUID();
 	let sentCopies = '';
@@ -22,7 +22,7 @@
 	const end = (): void => {
 		unsubscribe();
 		removeStopListener();
-		manager.forgetStream(streamId);
+		manager.removeStream(streamId);
 		stream.end();
 	};
 
@@ -44,7 +44,7 @@
  * Implements the gRPC service through which gateways report their needs for an engine and receive its summaries.
  * @param getManager - Returns the manager of the engine at an address; undefined if this process does not manage that engine.
  */
-export const newResidencyService = (getManager: (engineAddress: string) => EngineKeeper | undefined): UntypedServiceImplementation => {
+export const newResidencyService = (getManager: (engineAddress: string) => EngineManager | undefined): UntypedServiceImplementation => {
 	const encoder = new ReportEncoder();
 	return {
 		follow(stream: FollowStream) {
--- a/apps/valelead-daemon/src/sidecar/start-sidecar.ts
+++ b/apps/valelead-daemon/src/sidecar/start-sidecar.ts
@@ -8,14 +8,14 @@
 import {Metrics} from '../metrics/metrics.js';
 import type {SidecarSettings} from '../settings/sidecar-settings.js';
 import type {Stoppable} from '../stoppable.js';
-import {getStartMs} from '../get-start-ms.js';
+import {getStartupDurationMs} from '../get-startup-duration-ms.js';
 import {newChannelCredentials} from '../tls/new-channel-credentials.js';
 import {newServerCredentials} from '../tls/new-server-credentials.js';
 import {EngineClient} from './engine-client.js';
-import {EngineKeeper} from './engine-keeper.js';
+import {EngineManager} from './engine-manager.js';
 import {newEngineCopies} from './new-engine-copies.js';
 import {getOrderStart} from './get-order-start.js';
-import {LOCAL_POLLS} from './local-polls.js';
+import {LOCAL_POLL_INTERVALS} from './local-poll-intervals.js';
 import {newCapacity} from './new-capacity.js';
 import {newResidencyService} from './new-residency-service.js';
 import {SIDECAR_FENCE} from './sidecar-fence.js';
@@ -25,8 +25,8 @@
 	const timers = new TimerService(SYSTEM_CLOCK);
 	const pool = new ChannelPool(newChannelCredentials(settings.tls));
 	const client = new EngineClient(settings.engine, adapter.engine);
-	const manager = new EngineKeeper({
-		holder: settings.vm, concurrentStoreLoads: settings.concurrentStoreLoads, client, timers, clock: SYSTEM_CLOCK, logger, fence: SIDECAR_FENCE, polls: LOCAL_POLLS,
+	const manager = new EngineManager({
+		holder: settings.vm, concurrentStoreLoads: settings.concurrentStoreLoads, client, timers, clock: SYSTEM_CLOCK, logger, fence: SIDECAR_FENCE, pollIntervals: LOCAL_POLL_INTERVALS,
 	});
 	let ordersStartAt: number | undefined;
 	const follower = new RoutingFollower({
@@ -70,7 +70,7 @@
 			metrics.revision.set(follower.table?.routing.version ?? 0);
 		},
 	});
-	logger.info({event: 'started', engine: settings.engine, startMs: getStartMs()}, 'sidecar started');
+	logger.info({event: 'started', engine: settings.engine, startMs: getStartupDurationMs()}, 'sidecar started');
 	return {
 		async stop() {
 			manager.stop();
--- a/apps/valelead-daemon/src/standby/start-standby.ts
+++ b/apps/valelead-daemon/src/standby/start-standby.ts
@@ -10,7 +10,7 @@
 import {Metrics} from '../metrics/metrics.js';
 import type {ControllerSettings} from '../settings/controller-settings.js';
 import type {Stoppable} from '../stoppable.js';
-import {getStartMs} from '../get-start-ms.js';
+import {getStartupDurationMs} from '../get-startup-duration-ms.js';
 import {newChannelCredentials} from '../tls/new-channel-credentials.js';
 import {newServerCredentials} from '../tls/new-server-credentials.js';
 import {LeaderFinder} from './leader-finder.js';
@@ -43,7 +43,7 @@
 		refreshMetrics: () => undefined,
 	});
 	logger.info({
-		event: 'started', control: settings.control, isStandby: true, startMs: getStartMs(),
+		event: 'started', control: settings.control, isStandby: true, startMs: getStartupDurationMs(),
 	}, 'controller started without a data folder; it redirects callers to the leader');
 	return {
 		async stop() {
--- a/apps/valelead-daemon/tests/abandoned-calls.steps.ts
+++ b/apps/valelead-daemon/tests/abandoned-calls.steps.ts
@@ -4,7 +4,7 @@
 import type {ValeleadError} from '@valelead/common';
 import {HttpUpstream} from '@valelead/engine';
 import {SilentUpstream} from './silent-upstream.js';
-import {type EngineCodec, type OrderTerms, EngineClient} from 'valelead-daemon';
+import {type EngineCodec, type ConditionalOrder, EngineClient} from 'valelead-daemon';
 
 type CallWorld = {
 	ends: Promise<[end: string, connectionEnd: string]>;
@@ -25,7 +25,7 @@
 const CALLS: Readonly<Record<string, (port: number, upstream: SilentUpstream) => Promise<string>>> = {
 	async 'a sidecar\'s order'(port) {
 		const client = new EngineClient(`127.0.0.1:${port}`, CODEC);
-		const {result, reason} = await client.order({} as OrderTerms);
+		const {result, reason} = await client.order({} as ConditionalOrder);
 		client.close();
 		return `${result} ${reason}`;
 	},
--- a/apps/valelead-daemon/tests/attempt.steps.ts
+++ b/apps/valelead-daemon/tests/attempt.steps.ts
@@ -46,7 +46,7 @@
 			sink: {
 				isStream: true, start: () => undefined, data: () => undefined, end: () => undefined, refuse: () => undefined,
 			},
-			maxWholeBytes: 100,
+			maxBufferedBytes: 100,
 			events: {
 				onStart: () => true,
 				onData: () => undefined,
@@ -61,10 +61,10 @@
 			},
 		});
 		for (const frame of newFrames(names.split(' '), 'a')) {
-			attempt.take(frame);
+			attempt.handleFrame(frame);
 		}
 
-		void attempt.lose();
+		void attempt.handleLaneClosed();
 	});
 });
 
--- a/apps/valelead-daemon/tests/follower.steps.ts
+++ b/apps/valelead-daemon/tests/follower.steps.ts
@@ -8,7 +8,7 @@
 } from '@valelead/consensus';
 import {
 	type ChannelPool, type FollowerReport, type SessionReport, type SessionUpdate, type UpstreamCrash,
-	FollowerReportSchema, LeaderCalls, QuarantineListSchema, RoutingRecordSchema, SessionReportSchema, SessionUpdateSchema,
+	FollowerReportSchema, LeaderClient, QuarantineListSchema, RoutingRecordSchema, SessionReportSchema, SessionUpdateSchema,
 } from '@valelead/protocol';
 import {newDirectory} from '@valelead/discovery';
 import {pino} from 'pino';
@@ -163,7 +163,7 @@
 
 const startFollower = (world: FollowerWorld, first: string): void => {
 	const pool = newPool(world);
-	const leader = new LeaderCalls(pool, [first, ...[...world.voters.keys()].filter(address => address !== first && address !== world.unlisted)], world.timers);
+	const leader = new LeaderClient(pool, [first, ...[...world.voters.keys()].filter(address => address !== first && address !== world.unlisted)], world.timers);
 	const client = new SessionClient({
 		pool,
 		leader,
--- a/apps/valelead-daemon/tests/known-status.steps.ts
+++ b/apps/valelead-daemon/tests/known-status.steps.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {Given, Then, When} from '@cucumber/cucumber';
 import {ORDER_KIND} from '@valelead/residency';
-import {type EngineStatus, KnownStatus} from 'valelead-daemon';
+import {type EngineStatus, LatestStatus} from 'valelead-daemon';
 
 type StatusWorld = {
-	known: KnownStatus;
+	known: LatestStatus;
 	orders: number;
 	isDecidable: boolean;
 };
@@ -16,16 +16,16 @@
 	const status = {
 		bornAt: 0, models, pending: [], isBusy, orderSequence, queued: 0, active: 0, cacheUsedTokens: 0, cacheTokens: 1, copiesInMemory: [], copiesOnDisk: [],
 	};
-	world.isDecidable = world.known.take(status, now);
+	world.isDecidable = world.known.update(status, now);
 };
 
 Given('an engine that has loaded {string} reports at {int} ms that it has accepted {int} orders', function (this: StatusWorld, _loaded: string, now: number, orders: number) {
-	this.known = new KnownStatus();
+	this.known = new LatestStatus();
 	report(this, now, orders, false);
 });
 
 When('an order to {word} {string} is accepted at {int} ms', function (this: StatusWorld, kind: string, model: string, now: number) {
-	this.known.noteTaken({kind: kind === 'load' ? ORDER_KIND.Load : ORDER_KIND.Unload, model, adapter: ''}, 0, now);
+	this.known.noteAccepted({kind: kind === 'load' ? ORDER_KIND.Load : ORDER_KIND.Unload, model, adapter: ''}, 0, now);
 });
 
 When('the engine reports at {int} ms that it has accepted {int} order(s)', function (this: StatusWorld, now: number, orders: number) {
@@ -37,7 +37,7 @@
 });
 
 When('the engine announces at {int} ms that it has loaded {string}', function (this: StatusWorld, now: number, models: string) {
-	this.isDecidable = this.known.takeAnnounced({models: newModels(models), copiesInMemory: [], copiesOnDisk: []}, now);
+	this.isDecidable = this.known.applyAnnouncement({models: newModels(models), copiesInMemory: [], copiesOnDisk: []}, now);
 });
 
 When('another run of the engine answers', function (this: StatusWorld) {
--- a/apps/valelead-daemon/tests/leader-calls.steps.ts
+++ b/apps/valelead-daemon/tests/leader-calls.steps.ts
@@ -4,14 +4,14 @@
 } from '@cucumber/cucumber';
 import {TimerService, ValeleadError} from '@valelead/common';
 import {VirtualClock} from '@valelead/emulator';
-import {type ChannelPool, Control, LeaderCalls} from '@valelead/protocol';
+import {type ChannelPool, Control, LeaderClient} from '@valelead/protocol';
 
 /** Executor of a promise that never settles. */
 const ignore = (): void => undefined;
 
 type CallsWorld = {
 	clock: VirtualClock;
-	calls: LeaderCalls;
+	calls: LeaderClient;
 	endedAt: number | undefined;
 	realNow: (() => number) | undefined;
 };
@@ -22,7 +22,7 @@
 	this.clock = new VirtualClock();
 	const silent = {unary: async () => new Promise(ignore)};
 	const pool = {get: () => silent, reset: () => undefined};
-	this.calls = new LeaderCalls(pool as unknown as ChannelPool, ['a', 'b'], new TimerService(this.clock, this.clock), this.clock);
+	this.calls = new LeaderClient(pool as unknown as ChannelPool, ['a', 'b'], new TimerService(this.clock, this.clock), this.clock);
 });
 
 When('a call with {int} ms is made and the wall clock steps by {int} ms', async function (this: CallsWorld, timeoutMs: number, stepMs: number) {
@@ -54,11 +54,11 @@
 
 Given('calls to the leader with {string} in the settings', function (this: CallsWorld, addresses: string) {
 	this.clock = new VirtualClock();
-	this.calls = new LeaderCalls({} as unknown as ChannelPool, split(addresses), new TimerService(this.clock, this.clock), this.clock);
+	this.calls = new LeaderClient({} as unknown as ChannelPool, split(addresses), new TimerService(this.clock, this.clock), this.clock);
 });
 
 When('they receive the voters {string}', function (this: CallsWorld, addresses: string) {
-	this.calls.learn(split(addresses));
+	this.calls.updateVoterAddresses(split(addresses));
 });
 
 Then('the voters are tried in this order: {string}', function (this: CallsWorld, addresses: string) {
--- a/apps/valelead-daemon/tests/logger-program.ts
+++ b/apps/valelead-daemon/tests/logger-program.ts
@@ -1,5 +1,5 @@
 import process from 'node:process';
-import {exitWithLogs, newLogger} from 'valelead-daemon';
+import {flushLogsAndExit, newLogger} from 'valelead-daemon';
 
 const LINES = 30_000;
 const LINES_PER_ITERATION = 300;
@@ -21,7 +21,7 @@
 	}
 
 	process.send!({written, heldBytes: process.memoryUsage().rss - before}, () => {
-		exitWithLogs(logger, 0);
+		flushLogsAndExit(logger, 0);
 	});
 };
 
--- a/apps/valelead-daemon/tests/order-leases.steps.ts
+++ b/apps/valelead-daemon/tests/order-leases.steps.ts
@@ -3,7 +3,7 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import type {TimerService} from '@valelead/common';
 import {
-	type Directory, mutateAnnouncement, mutateKeeper, newDirectory,
+	type Directory, mutateAnnouncement, mutateManagerAddress, newDirectory,
 } from '@valelead/discovery';
 import {FollowerReportSchema, HeldLeaseSchema} from '@valelead/protocol';
 import {pino} from 'pino';
@@ -63,7 +63,7 @@
 		epoch: 'e',
 		directory: this.directory,
 		setManager: (address: string, keeperAddress: string) => {
-			mutateKeeper(this.directory, address, keeperAddress);
+			mutateManagerAddress(this.directory, address, keeperAddress);
 		},
 	};
 	const clock = {now: () => this.time.now, wallNow: () => this.time.now};
--- a/apps/valelead-daemon/tests/reborn-engine.steps.ts
+++ b/apps/valelead-daemon/tests/reborn-engine.steps.ts
@@ -6,12 +6,12 @@
 import * as fc from 'fast-check';
 import {pino} from 'pino';
 import {
-	EngineKeeper, type EnginePort, type EngineSummary, LOCAL_POLLS, type OrderTerms,
+	EngineManager, type EnginePort, type EngineSummary, LOCAL_POLL_INTERVALS, type ConditionalOrder,
 } from 'valelead-daemon';
 
 type RestartWorld = {
 	engine: FakeEngine;
-	manager: EngineKeeper;
+	manager: EngineManager;
 	clock: VirtualClock;
 	summary: EngineSummary | undefined;
 	isMemoryExceeded: boolean;
@@ -83,9 +83,9 @@
 		this.loaded = new Set();
 	}
 
-	async #order(terms: OrderTerms): ReturnType<EnginePort['order']> {
+	async #order(terms: ConditionalOrder): ReturnType<EnginePort['order']> {
 		if (this.isUnresponsive) {
-			this.#clock.after(LATE_MS, () => {
+			this.#clock.schedule(LATE_MS, () => {
 				this.#take(terms);
 			});
 			return {result: ORDER_RESULT.Unknown, instanceId: '', reason: 'no answer'};
@@ -94,7 +94,7 @@
 		return {result: this.#take(terms) ? ORDER_RESULT.Accepted : ORDER_RESULT.Conflict, instanceId: 'e', reason: ''};
 	}
 
-	#take({order, expectedSequence}: OrderTerms): boolean {
+	#take({order, expectedSequence}: ConditionalOrder): boolean {
 		if (this.#isBusy || expectedSequence !== this.#sequence) {
 			return false;
 		}
@@ -109,7 +109,7 @@
 		this.#isBusy = true;
 		this.isMemoryExceeded ||= !this.loaded.has(order.model) && this.loaded.size >= MAX_MODELS;
 		const bornAt = this.#bornAt;
-		this.#clock.after(LOAD_MS, () => {
+		this.#clock.schedule(LOAD_MS, () => {
 			if (this.#bornAt === bornAt) {
 				this.#isBusy = false;
 				this.loaded.add(order.model);
@@ -122,7 +122,7 @@
 const start = async (world: RestartWorld, bornAt: number, loaded: string, sequence: number): Promise<void> => {
 	world.clock = new VirtualClock();
 	world.engine = new FakeEngine(world.clock, bornAt, split(loaded), sequence);
-	world.manager = new EngineKeeper({
+	world.manager = new EngineManager({
 		holder: 'k',
 		concurrentStoreLoads: 0,
 		client: world.engine.port,
@@ -130,7 +130,7 @@
 		clock: world.clock,
 		logger: pino({level: 'silent'}),
 		fence: 1,
-		polls: LOCAL_POLLS,
+		pollIntervals: LOCAL_POLL_INTERVALS,
 	});
 	world.manager.subscribe(summary => {
 		world.summary = summary;
--- a/apps/valelead-daemon/tests/suspension.steps.ts
+++ b/apps/valelead-daemon/tests/suspension.steps.ts
@@ -4,12 +4,12 @@
 } from '@cucumber/cucumber';
 import {SuspensionWatch, TimerService} from '@valelead/common';
 import {pino} from 'pino';
-import {EngineKeepers, RoutingConfirmation} from 'valelead-daemon';
+import {EngineManagers, RoutingConfirmation} from 'valelead-daemon';
 
 type SuspensionWorld = {
 	clocks: {now: number; wall: number};
 	watch: SuspensionWatch;
-	keepers: EngineKeepers | undefined;
+	keepers: EngineManagers | undefined;
 	confirmation: RoutingConfirmation;
 	askedAt: number;
 	reportedAt: number;
@@ -55,7 +55,7 @@
 	// Timers never fire, so nothing is sent.
 	const wakeups = {set: () => undefined, clear: () => undefined};
 	const clock = {now: () => this.clocks.now, wallNow: () => this.clocks.wall};
-	this.keepers = new EngineKeepers({
+	this.keepers = new EngineManagers({
 		holder: 'g1',
 		keeperAddress: '10.0.0.9:1',
 		concurrentStoreLoads: 1,
--- a/apps/valelead-lab/src/lab-attempt.ts
+++ b/apps/valelead-lab/src/lab-attempt.ts
@@ -1,6 +1,6 @@
 import {Buffer} from 'node:buffer';
 import {OUTCOME, RESULT_CODE, type ResultCodeValue} from '@valelead/common';
-import type {EngineRun, RunTerms, VirtualClock} from '@valelead/emulator';
+import type {EngineRequest, RequestParameters, VirtualClock} from '@valelead/emulator';
 import {SUSPECT_PHASE, type SuspectPhaseValue} from '@valelead/quarantine';
 import {
 	type AttemptOptions, type SentAttempt, CONNECTION_STATE, newAttemptFailure,
@@ -12,7 +12,7 @@
 	readonly engine: LabEngine | undefined;
 	readonly clock: VirtualClock;
 	readonly linkMs: number;
-	readonly run: RunTerms;
+	readonly run: RequestParameters;
 };
 
 const HTTP_OK = 200;
@@ -20,7 +20,7 @@
 /** One sending of a request to an emulated engine. */
 export class LabAttempt implements SentAttempt {
 	readonly #parts: LabAttemptParts;
-	readonly #run: EngineRun;
+	readonly #run: EngineRequest;
 	#isSent = false;
 	#isAnswered = false;
 	#hasBody = false;
@@ -30,8 +30,8 @@
 	constructor(parts: LabAttemptParts) {
 		this.#parts = parts;
 		this.#run = this.#newRun();
-		parts.clock.after(parts.linkMs, () => {
-			if (!this.#isOver && parts.engine?.engine.isBroken) {
+		parts.clock.schedule(parts.linkMs, () => {
+			if (!this.#isOver && parts.engine?.engine.hasCrashed) {
 				this.#break();
 				return;
 			}
@@ -70,8 +70,8 @@
 
 	cancel(): void {
 		this.#isOver = true;
-		this.#parts.clock.after(this.#parts.linkMs, () => {
-			this.#parts.engine?.engine.drop(this.#run);
+		this.#parts.clock.schedule(this.#parts.linkMs, () => {
+			this.#parts.engine?.engine.cancel(this.#run);
 		});
 	}
 
@@ -83,16 +83,16 @@
 		}
 	}
 
-	#newRun(): EngineRun {
+	#newRun(): EngineRequest {
 		const {terms: {events}, run} = this.#parts;
 		return {
 			...run,
-			onBegin: () => {
+			onFirstToken: () => {
 				this.#tell(() => {
 					this.#takeHead();
 				});
 			},
-			onBroken: () => {
+			onConnectionLost: () => {
 				this.#tell(() => {
 					this.#break();
 				});
@@ -150,7 +150,7 @@
 	}
 
 	#tell(tell: () => void): void {
-		this.#parts.clock.after(this.#parts.linkMs, () => {
+		this.#parts.clock.schedule(this.#parts.linkMs, () => {
 			if (!this.#isOver) {
 				tell();
 			}
--- a/apps/valelead-lab/src/lab-caller.ts
+++ b/apps/valelead-lab/src/lab-caller.ts
@@ -70,7 +70,7 @@
 		const {clock, linkMs, call, getGateway} = this.#parts;
 		call.tries += 1;
 		this.#triedAt = clock.now();
-		clock.after(linkMs, () => {
+		clock.schedule(linkMs, () => {
 			if (!this.#isOver) {
 				this.#abandon = getGateway().arrive(call, this.#newRequest());
 			}
@@ -83,7 +83,7 @@
 	#watch(heardAt: number, watchId: number): void {
 		const {clock, call} = this.#parts;
 		const patienceEndsAt = heardAt + call.callerGroup.patienceMs;
-		clock.after(Math.min(patienceEndsAt, this.#endsAt) - clock.now(), () => {
+		clock.schedule(Math.min(patienceEndsAt, this.#endsAt) - clock.now(), () => {
 			if (this.#isOver || watchId !== this.#watchId) {
 				return;
 			}
@@ -169,7 +169,7 @@
 	}
 
 	#later(action: () => void): void {
-		this.#parts.clock.after(this.#parts.linkMs, () => {
+		this.#parts.clock.schedule(this.#parts.linkMs, () => {
 			if (!this.#isOver) {
 				action();
 			}
@@ -197,7 +197,7 @@
 		}
 
 		this.#watchId += 1;
-		clock.after(Math.min(retryAfterMs, leftMs * HEEDED_SHARE), () => {
+		clock.schedule(Math.min(retryAfterMs, leftMs * HEEDED_SHARE), () => {
 			this.#try();
 		});
 	}
--- a/apps/valelead-lab/src/lab-engine.ts
+++ b/apps/valelead-lab/src/lab-engine.ts
@@ -5,7 +5,7 @@
 import type {RouteTable} from '@valelead/routing';
 import type {Logger} from 'pino';
 import {
-	EngineKeeper, type EnginePort, type EngineStatus, LOCAL_POLLS, type OrderReply, type OrderTerms, REMOTE_POLLS, ReportEncoder, SIDECAR_FENCE, newCapacity,
+	EngineManager, type EnginePort, type EngineStatus, LOCAL_POLL_INTERVALS, type OrderReply, type ConditionalOrder, REMOTE_POLL_INTERVALS, ReportEncoder, SIDECAR_FENCE, newCapacity,
 } from 'valelead-daemon';
 import {LAB_NAMES} from './lab-names.js';
 
@@ -37,7 +37,7 @@
 
 /** An emulated engine with the shipped keeper beside it. */
 export class LabEngine {
-	readonly keeper: EngineKeeper;
+	readonly keeper: EngineManager;
 	/** One for all gateways, as in a sidecar. */
 	readonly encoder = new ReportEncoder();
 	/** What its answers name; none where it is undefined. */
@@ -51,7 +51,7 @@
 
 	constructor(parts: LabEngineParts) {
 		this.#parts = parts;
-		this.keeper = new EngineKeeper({
+		this.keeper = new EngineManager({
 			holder: parts.id,
 			concurrentStoreLoads: CONCURRENT_STORE_LOADS,
 			client: this.#newPort(),
@@ -59,7 +59,7 @@
 			clock: parts.clock,
 			logger: parts.logger,
 			fence: SIDECAR_FENCE,
-			polls: parts.statusLagMs === 0 ? LOCAL_POLLS : REMOTE_POLLS,
+			pollIntervals: parts.statusLagMs === 0 ? LOCAL_POLL_INTERVALS : REMOTE_POLL_INTERVALS,
 		});
 		if (parts.statusLagMs > 0) {
 			parts.timers.repeat(SNAPSHOT_MS, now => {
@@ -125,7 +125,7 @@
 	}
 
 	#getModels(): Upstream['models'] {
-		return [...this.engine.held].map(([name, adapters]) => ({name, version: 1, adapters: [...adapters]}));
+		return [...this.engine.loadedModels].map(([name, adapters]) => ({name, version: 1, adapters: [...adapters]}));
 	}
 
 	#getStatus(): EngineStatus {
@@ -160,7 +160,7 @@
 	}
 
 	/** What became of an order is not known where the engine is gone before it answers. */
-	async #giveOrder(terms: OrderTerms): Promise<OrderReply> {
+	async #giveOrder(terms: ConditionalOrder): Promise<OrderReply> {
 		try {
 			return await this.#call(() => ({result: this.#order(terms), instanceId: this.id, reason: ''}));
 		} catch (error) {
@@ -168,7 +168,7 @@
 		}
 	}
 
-	#order({order, expectedSequence}: OrderTerms): OrderResultValue {
+	#order({order, expectedSequence}: ConditionalOrder): OrderResultValue {
 		const {engine} = this.#parts;
 		const isTaken = order.adapter === ''
 			? engine.order({kind: order.kind, model: order.model}, expectedSequence)
@@ -181,14 +181,14 @@
 	async #call<Reply>(ask: () => Reply): Promise<Reply> {
 		const {clock, engine} = this.#parts;
 		return new Promise((resolve, reject) => {
-			clock.after(LOCAL_MS, () => {
+			clock.schedule(LOCAL_MS, () => {
 				if (!engine.isUp) {
 					reject(new Error('the engine is gone'));
 					return;
 				}
 
 				const reply = ask();
-				clock.after(LOCAL_MS, () => {
+				clock.schedule(LOCAL_MS, () => {
 					resolve(reply);
 				});
 			});
--- a/apps/valelead-lab/src/lab-gateway.ts
+++ b/apps/valelead-lab/src/lab-gateway.ts
@@ -83,7 +83,7 @@
 				terms, engine: getEngine(terms.upstreamId), clock, linkMs, run: this.#calls.get(terms.requestId)!.run,
 			}),
 			getLeaderAgeMs: () => 0,
-			isPortRefused: async address => getEngine(getHost(address))?.engine.isBroken ?? false,
+			isPortRefused: async address => getEngine(getHost(address))?.engine.hasCrashed ?? false,
 			onCrash: () => undefined,
 			onCrashReportDue: () => {
 				parts.onCrashNews(this);
--- a/apps/valelead-lab/src/lab-installation.ts
+++ b/apps/valelead-lab/src/lab-installation.ts
@@ -1,7 +1,7 @@
 import process from 'node:process';
 import {TimerService} from '@valelead/common';
 import {
-	EmulatedEngine, type ModelTerms, type Random, VirtualClock, WeightStore,
+	EmulatedEngine, type ModelParameters, type Random, VirtualClock, WeightStore,
 } from '@valelead/emulator';
 import type {RouteTable} from '@valelead/routing';
 import {type Logger, pino} from 'pino';
@@ -50,7 +50,7 @@
 	readonly #pattern: Pattern;
 	readonly #timers = new TimerService(this.clock, this.clock);
 	readonly #logger: Logger;
-	readonly #models: ReadonlyMap<string, ModelTerms>;
+	readonly #models: ReadonlyMap<string, ModelParameters>;
 	readonly #store: WeightStore;
 	readonly #engines = new Map<string, LabEngine>();
 	#engineCount = 0;
@@ -149,7 +149,7 @@
 
 	/** Tells gateways and sidecars what the engines announce. */
 	announce(): void {
-		this.clock.after(DIRECTORY_MS, () => {
+		this.clock.schedule(DIRECTORY_MS, () => {
 			const upstreams = this.engines.filter(({engine}) => engine.isUp).map(engine => engine.announce());
 			for (const gateway of this.gateways) {
 				gateway.takeDirectory(upstreams);
@@ -166,7 +166,7 @@
 		const engine = this.#engines.get(id)!;
 		this.crashes += 1;
 		engine.keeper.stop();
-		this.clock.after(this.crashDownMs, () => {
+		this.clock.schedule(this.crashDownMs, () => {
 			this.startEngine(engine.engine.diskCopies);
 			this.announce();
 		});
@@ -180,8 +180,8 @@
 		}
 
 		const upstream = engine.announce();
-		this.clock.after(DIRECTORY_MS, () => {
-			engine.keeper.setAnnounced(upstream);
+		this.clock.schedule(DIRECTORY_MS, () => {
+			engine.keeper.applyAnnouncement(upstream);
 		});
 	}
 
@@ -204,7 +204,7 @@
 		for (const [position, {id, engine}] of byKept.entries()) {
 			const room = placed.get(id)!;
 			if (position < model.holders && room.held + model.weightMemory <= weightMemory) {
-				engine.place(model.name);
+				engine.preload(model.name);
 				room.held += model.weightMemory;
 				room.kept += model.weightMemory;
 			} else if (position < model.copies && room.kept + model.weightMemory <= diskMemory) {
--- a/apps/valelead-lab/src/lab-limits.ts
+++ b/apps/valelead-lab/src/lab-limits.ts
@@ -53,7 +53,7 @@
 		}
 
 		this.#due.add(gateway);
-		this.#parts.clock.after(COALESCE_MS, () => {
+		this.#parts.clock.schedule(COALESCE_MS, () => {
 			this.#due.delete(gateway);
 			this.#exchange(gateway);
 		});
@@ -63,7 +63,7 @@
 		const {clock, linkMs} = this.#parts;
 		const sentAt = clock.now();
 		const report = create(FollowerReportSchema, encodeLimitReport(gateway.limitExchange.getReport(sentAt, false), sentAt));
-		clock.after(linkMs, () => {
+		clock.schedule(linkMs, () => {
 			this.#answer(gateway, sentAt, this.#registry.note(gateway.name, report));
 		});
 	}
@@ -74,7 +74,7 @@
 		const isBehind = this.#told.get(gateway) !== this.#registry.version;
 		const limits = isBehind ? this.#registry.getList() : undefined;
 		this.#told.set(gateway, this.#registry.version);
-		clock.after(linkMs, () => {
+		clock.schedule(linkMs, () => {
 			gateway.limitExchange.handleUpdate({limits, grant, reportedAt});
 		});
 	}
--- a/apps/valelead-lab/src/lab-links.ts
+++ b/apps/valelead-lab/src/lab-links.ts
@@ -45,7 +45,7 @@
 		for (const [id, link] of this.#links) {
 			if (!ids.has(id)) {
 				link.unsubscribe();
-				link.engine.keeper.forgetStream(this.#parts.gateway);
+				link.engine.keeper.removeStream(this.#parts.gateway);
 				this.#links.delete(id);
 				this.#parts.onReport(link.engine.address, undefined);
 			}
@@ -58,7 +58,7 @@
 			const told = getNeedsText(own);
 			if (told !== link.told) {
 				link.told = told;
-				this.#parts.clock.after(this.#parts.linkMs, () => {
+				this.#parts.clock.schedule(this.#parts.linkMs, () => {
 					link.engine.keeper.setNeeds(this.#parts.gateway, own);
 				});
 			}
@@ -68,7 +68,7 @@
 	#connect(engine: LabEngine): void {
 		const send = (summary: EngineSummary): void => {
 			const {report} = engine.encoder.encode(summary, NO_COPIES);
-			this.#parts.clock.after(this.#parts.linkMs, () => {
+			this.#parts.clock.schedule(this.#parts.linkMs, () => {
 				this.#parts.onReport(engine.address, report);
 			});
 		};
--- a/apps/valelead-lab/src/lab-quarantine.ts
+++ b/apps/valelead-lab/src/lab-quarantine.ts
@@ -68,11 +68,11 @@
 			crashes: crashes.map(crash => encodeCrash(crash)), served: served.map(fingerprint => Uint8Array.from(Buffer.from(fingerprint, 'hex'))),
 		});
 		const reportedAt = clock.now();
-		clock.after(linkMs, () => {
+		clock.schedule(linkMs, () => {
 			this.#registry.note(report);
 		});
 		// There and back, and once more for the other gateways' confirmation.
-		clock.after(4 * linkMs, () => {
+		clock.schedule(4 * linkMs, () => {
 			gateway.crashExchange.noteReachableGatewaysApplied(reportedAt);
 			gateway.crashExchange.noteAllGatewaysApplied(reportedAt);
 		});
@@ -80,7 +80,7 @@
 
 	#push(): void {
 		const {clock, linkMs, getGateways} = this.#parts;
-		clock.after(linkMs, () => {
+		clock.schedule(linkMs, () => {
 			for (const gateway of getGateways()) {
 				gateway.crashExchange.applyQuarantine(this.#registry.getList(), true);
 			}
--- a/apps/valelead-lab/src/lab-traffic.ts
+++ b/apps/valelead-lab/src/lab-traffic.ts
@@ -56,7 +56,7 @@
 		const callerGroup = this.#callerGroups.find(group => group.name === className)!;
 		const call = {...this.#newCall(callerGroup), url: `/${name}`};
 		this.#start({...call, run: {...call.run, isCrashing: true}}, () => undefined);
-		clock.after(this.#random.exponential(1 / everyMs), () => {
+		clock.schedule(this.#random.sampleExponential(1 / everyMs), () => {
 			this.repeatCrashing(className, name, everyMs, until);
 		});
 	}
@@ -64,7 +64,7 @@
 	#scheduleNext(callerGroup: CallerGroup): void {
 		const clump = callerGroup.clump ?? 1;
 		const rate = callerGroup.perSecond * (this.#factors.get(callerGroup.name) ?? 1) / clump;
-		this.#installation.clock.after(this.#random.exponential(rate) * MS_PER_SECOND, () => {
+		this.#installation.clock.schedule(this.#random.sampleExponential(rate) * MS_PER_SECOND, () => {
 			if (this.#isOver) {
 				return;
 			}
@@ -92,15 +92,15 @@
 	}
 
 	#newCall(callerGroup: CallerGroup): LabCall {
-		const model = this.#models.get(callerGroup.name)![this.#random.pick(this.#weights.get(callerGroup.name)!)];
+		const model = this.#models.get(callerGroup.name)![this.#random.sampleIndex(this.#weights.get(callerGroup.name)!)];
 		return {
 			callerGroup,
 			run: {
 				model,
 				adapter: this.#getAdapter(callerGroup, model),
-				ownTokens: this.#random.length(callerGroup.ownTokens),
+				ownTokens: this.#random.sampleLength(callerGroup.ownTokens),
 				sharedTokens: callerGroup.sharedTokens,
-				newTokens: this.#random.length(callerGroup.newTokens),
+				newTokens: this.#random.sampleLength(callerGroup.newTokens),
 				priority: callerGroup.priority,
 			},
 			firstAt: this.#installation.clock.now(),
--- a/apps/valelead-lab/src/play-pattern.ts
+++ b/apps/valelead-lab/src/play-pattern.ts
@@ -19,7 +19,7 @@
 	switch (event.kind) {
 		case 'burst': {
 			traffic.setFactor(event.className, event.factor);
-			clock.after(event.forMs, () => {
+			clock.schedule(event.forMs, () => {
 				traffic.setFactor(event.className, 1);
 			});
 			break;
@@ -38,7 +38,7 @@
 		case 'restart': {
 			const {engine} = installation.engines[event.engine];
 			installation.engines[event.engine].end();
-			clock.after(event.downMs, () => {
+			clock.schedule(event.downMs, () => {
 				installation.startEngine(engine.diskCopies);
 				installation.announce();
 			});
@@ -69,7 +69,7 @@
 			const engine = installation.engines[event.engine];
 			engine.drain();
 			installation.announce();
-			clock.after(event.noticeMs + ENGINE_END_MS, () => {
+			clock.schedule(event.noticeMs + ENGINE_END_MS, () => {
 				engine.end();
 				installation.announce();
 			});
@@ -92,7 +92,7 @@
 		results.push({...result, at: result.at - LEAD_MS});
 	});
 	for (const event of pattern.events) {
-		clock.after(event.at, () => {
+		clock.schedule(event.at, () => {
 			carryOut(event, installation, traffic);
 		});
 	}
--- a/fakes/src/control-client.ts
+++ b/fakes/src/control-client.ts
@@ -2,7 +2,7 @@
 import {create} from '@bufbuild/protobuf';
 import {SYSTEM_CLOCK, TimerService} from '@valelead/common';
 import {
-	type ExecuteReply, ChannelPool, Control, ExecuteRequestSchema, LeaderCalls, QueryRequestSchema,
+	type ExecuteReply, ChannelPool, Control, ExecuteRequestSchema, LeaderClient, QueryRequestSchema,
 } from '@valelead/protocol';
 import {ChannelCredentials} from '@grpc/grpc-js';
 import type {Installation} from './installation.js';
@@ -18,11 +18,11 @@
 export class ControlClient {
 	readonly #timers = new TimerService(SYSTEM_CLOCK);
 	readonly #pool = new ChannelPool(ChannelCredentials.createInsecure());
-	readonly #leader: LeaderCalls;
+	readonly #leader: LeaderClient;
 	readonly #operatorKey: string;
 
 	constructor(installation: Installation) {
-		this.#leader = new LeaderCalls(this.#pool, installation.control.split(','), this.#timers);
+		this.#leader = new LeaderClient(this.#pool, installation.control.split(','), this.#timers);
 		this.#operatorKey = readFileSync(installation.keyFile, 'utf8').trim();
 	}
 
--- a/packages/access/src/get-key-faults.ts
+++ b/packages/access/src/get-key-faults.ts
@@ -1,11 +1,11 @@
 import {hashKey} from './hash-key.js';
 import type {KeyFault} from './key-fault.js';
-import type {KeyHolder} from './key-holder.js';
+import type {TeamKeys} from './team-keys.js';
 
 const EMPTY_HASH = hashKey('');
 
 /** Returns all faults in the names and keys of the teams: duplicate names, duplicate keys and empty keys. */
-export const getKeyFaults = (teams: Iterable<KeyHolder>): KeyFault[] => {
+export const getKeyFaults = (teams: Iterable<TeamKeys>): KeyFault[] => {
 	const names = new Set<string>();
 	const teamsByHash = new Map<string, string>();
 	const faults: KeyFault[] = [];
--- a/packages/access/tests/access.steps.ts
+++ b/packages/access/tests/access.steps.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {Given, Then} from '@cucumber/cucumber';
 import {
-	type KeyHolder, getKeyFaults, getKeyHolder, hashKey, newKeyTable,
+	type TeamKeys, getKeyFaults, getTeamOfKey, hashKey, newKeyTable,
 } from '@valelead/access';
 
 type AccessWorld = {
-	teams: KeyHolder[];
+	teams: TeamKeys[];
 	keys: string[];
 };
 
@@ -18,13 +18,13 @@
 
 Then('key {string} belongs to team {string} and key {string} to team {string}', function (this: AccessWorld, first: string, firstTeam: string, second: string, secondTeam: string) {
 	const table = newKeyTable(this.teams);
-	assert.deepEqual([getKeyHolder(table, first), getKeyHolder(table, second)], [firstTeam, secondTeam]);
+	assert.deepEqual([getTeamOfKey(table, first), getTeamOfKey(table, second)], [firstTeam, secondTeam]);
 });
 
 Then('keys {string} belong to no team', function (this: AccessWorld, keys: string) {
 	const table = newKeyTable(this.teams);
 	for (const key of keys.split(', ')) {
-		assert.equal(getKeyHolder(table, key), undefined, key);
+		assert.equal(getTeamOfKey(table, key), undefined, key);
 	}
 });
 
--- a/packages/common/src/lease-end.ts
+++ b/packages/common/src/lease.ts
@@ -10,7 +10,7 @@
 };
 
 /** A lease that another process renews by its confirmations. The lease also runs out while this process is suspended. */
-export class LeaseEnd {
+export class Lease {
 	readonly #options: LeaseOptions;
 	#endMs = Number.NEGATIVE_INFINITY;
 
@@ -23,7 +23,7 @@
 	 * stays as it is and the result is false.
 	 * @param requestedAt - When this process requested the confirmation, in monotonic milliseconds.
 	 */
-	confirm(requestedAt: number): boolean {
+	renew(requestedAt: number): boolean {
 		const {suspensions, lengthMs} = this.#options;
 		if (suspensions.resumedAt >= requestedAt) {
 			return false;
@@ -34,12 +34,12 @@
 	}
 
 	/** When the lease expires, in monotonic milliseconds, provided that the process is not suspended until then. */
-	get at(): number {
+	get expiresAt(): number {
 		return this.#endMs - this.#options.suspensions.lostMs;
 	}
 
 	/** True if the lease has expired or was never granted. */
-	get isOver(): boolean {
-		return this.#options.clock.now() >= this.at;
+	get isExpired(): boolean {
+		return this.#options.clock.now() >= this.expiresAt;
 	}
 }
--- a/packages/common/src/system-timeout-scheduler.ts
+++ b/packages/common/src/system-timeout-scheduler.ts
@@ -1,7 +1,7 @@
-import type {Wakeups} from './wakeups.js';
+import type {TimeoutScheduler} from './timeout-scheduler.js';
 
 /** Schedules timeouts with the timers of the Node runtime. */
-export const SYSTEM_TIMEOUT_SCHEDULER: Wakeups = {
+export const SYSTEM_TIMEOUT_SCHEDULER: TimeoutScheduler = {
 	set: (run, delayMs) => setTimeout(run, delayMs),
 	clear(handle) {
 		clearTimeout(handle as NodeJS.Timeout | undefined);
--- a/packages/common/src/timer-service.ts
+++ b/packages/common/src/timer-service.ts
@@ -1,7 +1,7 @@
 import type {Clock} from './clock.js';
 import {SYSTEM_TIMEOUT_SCHEDULER} from './system-timeout-scheduler.js';
 import type {TimerSubscription} from './timer-subscription.js';
-import type {Wakeups} from './wakeups.js';
+import type {TimeoutScheduler} from './timeout-scheduler.js';
 
 type Subscriber = {
 	readonly periodMs: number | undefined;
@@ -15,13 +15,13 @@
 /** Provides all timer events of a process. Components subscribe to it instead of setting their own timers. */
 export class TimerService {
 	readonly #clock: Clock;
-	readonly #scheduler: Wakeups;
+	readonly #scheduler: TimeoutScheduler;
 	readonly #subscribers = new Set<Subscriber>();
 	#timeoutHandle: unknown;
 	#nextWakeupAt = Number.POSITIVE_INFINITY;
 	#isStopped = false;
 
-	constructor(clock: Clock, scheduler: Wakeups = SYSTEM_TIMEOUT_SCHEDULER) {
+	constructor(clock: Clock, scheduler: TimeoutScheduler = SYSTEM_TIMEOUT_SCHEDULER) {
 		this.#clock = clock;
 		this.#scheduler = scheduler;
 	}
--- a/packages/consensus/src/consensus-node.ts
+++ b/packages/consensus/src/consensus-node.ts
@@ -217,9 +217,9 @@
 		const {selfId, term} = this.#state;
 		const now = this.#parts.clock.now();
 		const voters = this.#state.voters.filter(voter => !voter.isLearner);
-		const heard = voters.filter(({id}) => id === selfId || now - (this.#lastReceivedAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
+		const reachable = voters.filter(({id}) => id === selfId || now - (this.#lastReceivedAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
 		return {
-			voters, reachable: heard, term, leader: this.leader, isLeader: this.isLeader,
+			voters, reachable: reachable, term, leader: this.leader, isLeader: this.isLeader,
 		};
 	}
 
--- a/packages/discovery/src/mutate-silent.ts
+++ b/packages/discovery/src/mutate-silent-upstreams.ts
@@ -10,7 +10,7 @@
  * Marks upstreams as silent whose last announcement is older than `silenceMs`, and returns them. Removes old entries of gone and silent
  * upstreams.
  */
-export const mutateSilent = (directory: Directory, silenceMs: number, now: number): Upstream[] => {
+export const mutateSilentUpstreams = (directory: Directory, silenceMs: number, now: number): Upstream[] => {
 	const lost: Upstream[] = [];
 	for (const [id, {upstream, announcedAt}] of directory.entries) {
 		const isUsable = upstream.state === UPSTREAM_STATE.Ready || upstream.state === UPSTREAM_STATE.Draining;
--- a/packages/discovery/src/mutate-unconfirmed.ts
+++ b/packages/discovery/src/mutate-unconfirmed-upstreams.ts
@@ -1,7 +1,7 @@
 import type {DirectoryCopy} from './directory-copy.js';
 
 /** Removes upstreams that a new leader has not confirmed within `graceMs`. Returns true if anything changed. */
-export const mutateUnconfirmed = (copy: DirectoryCopy, graceMs: number, now: number): boolean => {
+export const mutateUnconfirmedUpstreams = (copy: DirectoryCopy, graceMs: number, now: number): boolean => {
 	let isChanged = false;
 	for (const [id, {unconfirmedSince}] of copy.upstreams) {
 		if (unconfirmedSince !== undefined && now - unconfirmedSince > graceMs) {
--- a/packages/discovery/tests/discovery.steps.ts
+++ b/packages/discovery/tests/discovery.steps.ts
@@ -4,7 +4,7 @@
 import {newUpstream} from '../../../tests/support/new-upstream.js';
 import {
 	type Directory, type DirectoryCopy, type Upstream, type UpstreamStateValue, UPSTREAM_STATE, getChangesSince,
-	getRunId, mutateAnnouncement, mutateDeparture, mutateDirectoryCopy, mutateSilent, mutateUnconfirmed, newDirectory, newDirectoryCopy,
+	getRunId, mutateAnnouncement, mutateDeparture, mutateDirectoryCopy, mutateSilentUpstreams, mutateUnconfirmedUpstreams, newDirectory, newDirectoryCopy,
 } from '@valelead/discovery';
 
 type DiscoveryWorld = {
@@ -67,7 +67,7 @@
 });
 
 When('{int} ms pass without announcements', function (this: DiscoveryWorld, milliseconds: number) {
-	mutateSilent(this.directory!, SILENCE_MS, milliseconds);
+	mutateSilentUpstreams(this.directory!, SILENCE_MS, milliseconds);
 });
 
 Then('upstream {string} is {string}', function (this: DiscoveryWorld, id: string, state: string) {
@@ -116,7 +116,7 @@
 });
 
 When('{int} ms pass without an update', function (this: DiscoveryWorld, milliseconds: number) {
-	mutateUnconfirmed(this.copy, GRACE_MS, milliseconds);
+	mutateUnconfirmedUpstreams(this.copy, GRACE_MS, milliseconds);
 });
 
 Then('the directory copy contains {string}', function (this: DiscoveryWorld, ids: string) {
--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -1,7 +1,7 @@
 import {EngineBatch} from './engine-batch.js';
-import type {EngineRun} from './engine-run.js';
-import type {EngineTerms} from './engine-terms.js';
-import type {ModelTerms} from './model-terms.js';
+import type {EngineRequest} from './engine-request.js';
+import type {EngineParameters} from './engine-parameters.js';
+import type {ModelParameters} from './model-parameters.js';
 import type {VirtualClock} from './virtual-clock.js';
 import {WeightCopies} from './weight-copies.js';
 import type {WeightStore} from './weight-store.js';
@@ -9,8 +9,8 @@
 type EngineOptions = {
 	readonly clock: VirtualClock;
 	readonly store: WeightStore;
-	readonly terms: EngineTerms;
-	readonly models: ReadonlyMap<string, ModelTerms>;
+	readonly terms: EngineParameters;
+	readonly models: ReadonlyMap<string, ModelParameters>;
 	/** Factor by which the engine is slower than its parameters say. */
 	readonly slowness: number;
 	/** Called when the load or unload of a model has ended. */
@@ -68,7 +68,7 @@
 		});
 	}
 
-	get held(): ReadonlyMap<string, ReadonlySet<string>> {
+	get loadedModels(): ReadonlyMap<string, ReadonlySet<string>> {
 		return this.#loadedModels;
 	}
 
@@ -89,7 +89,7 @@
 	}
 
 	/** True if the engine crashed while its machine stayed up, so that its port refuses connections. */
-	get isBroken(): boolean {
+	get hasCrashed(): boolean {
 		return this.#isBroken;
 	}
 
@@ -106,7 +106,7 @@
 	}
 
 	/** Loads a model without delay, with copies in host memory and on disk. Used to set up an installation at its start. */
-	place(model: string): void {
+	preload(model: string): void {
 		this.#loadedModels.set(model, new Set());
 		this.keepCopy(model);
 	}
@@ -129,7 +129,7 @@
 	}
 
 	/** Starts or queues a request. Rejects it if the engine is down, the model or adapter is not loaded, or the queue is full. */
-	send(request: EngineRun): void {
+	send(request: EngineRequest): void {
 		const isUnloading = this.#currentOrder?.kind === 'unload' && this.#currentOrder.model === request.model;
 		const adapters = this.#loadedModels.get(request.model);
 		const isLoaded = adapters !== undefined && (request.adapter === '' || adapters.has(request.adapter));
@@ -144,7 +144,7 @@
 	}
 
 	/** Cancels a request whose caller has disconnected. */
-	drop(request: EngineRun): void {
+	cancel(request: EngineRequest): void {
 		this.#batch.cancel(request);
 	}
 
@@ -183,7 +183,7 @@
 		if (kind === 'unload') {
 			adapters.delete(adapter);
 		} else {
-			this.#options.clock.after(this.#options.models.get(model)!.adapterLoadMs, () => {
+			this.#options.clock.schedule(this.#options.models.get(model)!.adapterLoadMs, () => {
 				this.#loadedModels.get(model)?.add(adapter);
 			});
 		}
@@ -209,7 +209,7 @@
 			return;
 		}
 
-		this.#options.clock.after(this.#options.terms.unloadMs, () => {
+		this.#options.clock.schedule(this.#options.terms.unloadMs, () => {
 			if (this.#currentOrder === order) {
 				this.#loadedModels.delete(order.model);
 				this.#endOrder();
@@ -230,10 +230,10 @@
 
 		if (this.#memoryCopies.has(model)) {
 			this.counts.memory += 1;
-			this.#options.clock.after(terms.memoryLoadMs * pressure, end);
+			this.#options.clock.schedule(terms.memoryLoadMs * pressure, end);
 		} else if (this.#diskCopies.has(model)) {
 			this.counts.disk += 1;
-			this.#options.clock.after(terms.diskLoadMs * pressure, end);
+			this.#options.clock.schedule(terms.diskLoadMs * pressure, end);
 		} else {
 			this.counts.store += 1;
 			this.#options.store.fetch(terms.storeLoadMs * pressure, end);
--- a/packages/emulator/src/engine-batch.ts
+++ b/packages/emulator/src/engine-batch.ts
@@ -1,16 +1,16 @@
-import type {EngineRun} from './engine-run.js';
-import type {EngineTerms} from './engine-terms.js';
+import type {EngineRequest} from './engine-request.js';
+import type {EngineParameters} from './engine-parameters.js';
 import type {VirtualClock} from './virtual-clock.js';
 
 type ActiveRequest = {
-	readonly request: EngineRun;
+	readonly request: EngineRequest;
 	unreadPromptTokens: number;
 	generatedTokens: number;
 };
 
 type BatchOptions = {
 	readonly clock: VirtualClock;
-	readonly terms: EngineTerms;
+	readonly terms: EngineParameters;
 	readonly getStepFactor: (model: string) => number;
 	/** Called when a request has ended or was cancelled. */
 	readonly onRequestEnd: () => void;
@@ -25,7 +25,7 @@
 export class EngineBatch {
 	readonly #options: BatchOptions;
 	readonly #running: ActiveRequest[] = [];
-	readonly #queued: EngineRun[] = [];
+	readonly #queued: EngineRequest[] = [];
 	/** Models whose shared prompt prefix is in the cache. */
 	readonly #cachedPrefixes = new Set<string>();
 	#isStepping = false;
@@ -48,7 +48,7 @@
 	}
 
 	/** Starts or queues a request. Returns false if the queue is full. */
-	enqueue(request: EngineRun): boolean {
+	enqueue(request: EngineRequest): boolean {
 		const {slots, maxQueued} = this.#options.terms;
 		if (this.#running.length < slots) {
 			this.#admit(request);
@@ -64,7 +64,7 @@
 	}
 
 	/** Cancels a running or queued request whose caller has disconnected. */
-	cancel(request: EngineRun): void {
+	cancel(request: EngineRequest): void {
 		const queuedAt = this.#queued.indexOf(request);
 		if (queuedAt !== -1) {
 			this.#queued.splice(queuedAt, 1);
@@ -84,7 +84,7 @@
 		this.#running.length = 0;
 		this.#queued.length = 0;
 		for (const request of requests) {
-			request.onBroken();
+			request.onConnectionLost();
 		}
 	}
 
@@ -97,7 +97,7 @@
 		}
 	}
 
-	#admit(request: EngineRun): void {
+	#admit(request: EngineRequest): void {
 		const sharedTokens = this.#cachedPrefixes.has(request.model) ? 0 : request.sharedTokens;
 		this.#running.push({request, unreadPromptTokens: request.ownTokens + sharedTokens, generatedTokens: 0});
 		this.#step();
@@ -119,7 +119,7 @@
 		this.#isStepping = true;
 		const decoding = this.#running.filter(({unreadPromptTokens}) => unreadPromptTokens === 0);
 		const readMs = this.#readPrompts();
-		this.#options.clock.after(readMs + this.#getDecodeMs(decoding), () => {
+		this.#options.clock.schedule(readMs + this.#getDecodeMs(decoding), () => {
 			this.#isStepping = false;
 			this.#generateTokens(decoding);
 			this.#admitQueued();
@@ -163,7 +163,7 @@
 
 			active.generatedTokens += 1;
 			if (active.generatedTokens === 1) {
-				active.request.onBegin();
+				active.request.onFirstToken();
 			}
 
 			if (active.request.isCrashing && active.generatedTokens === Math.min(CRASH_TOKEN, active.request.newTokens)) {
--- a/packages/emulator/src/engine-terms.ts
+++ b/packages/emulator/src/engine-parameters.ts
@@ -1,5 +1,5 @@
 /** Capacity and speed of one type of model engine. Memory is in megabytes, times are in milliseconds. */
-export type EngineTerms = {
+export type EngineParameters = {
 	/** Maximum number of requests that run at the same time. */
 	readonly slots: number;
 	/** Maximum number of requests that wait for a slot. */
--- a/packages/emulator/src/length-terms.ts
+++ b/packages/emulator/src/length-distribution.ts
@@ -1,5 +1,5 @@
 /** Log-normal distribution of the lengths of prompts or responses, in tokens. */
-export type LengthTerms = {
+export type LengthDistribution = {
 	readonly mean: number;
 	/** Standard deviation of the logarithm of the length. */
 	readonly spread: number;
--- a/packages/emulator/src/model-terms.ts
+++ b/packages/emulator/src/model-parameters.ts
@@ -1,5 +1,5 @@
 /** Size, load times and speed of a model. Memory is in megabytes, times are in milliseconds. */
-export type ModelTerms = {
+export type ModelParameters = {
 	readonly name: string;
 	readonly weightMemory: number;
 	readonly adapterMemory: number;
--- a/packages/emulator/src/run-terms.ts
+++ b/packages/emulator/src/request-parameters.ts
@@ -1,5 +1,5 @@
 /** Model, lengths and priority of a request to an emulated engine. */
-export type RunTerms = {
+export type RequestParameters = {
 	readonly model: string;
 	readonly adapter: string;
 	/** Prompt tokens that are specific to this request. */
--- a/packages/emulator/src/virtual-clock.ts
+++ b/packages/emulator/src/virtual-clock.ts
@@ -1,4 +1,4 @@
-import type {Clock, Wakeups} from '@valelead/common';
+import type {Clock, TimeoutScheduler} from '@valelead/common';
 
 type Timer = {
 	readonly dueAt: number;
@@ -15,7 +15,7 @@
 });
 
 /** A simulated clock, in milliseconds. Time advances only when `runUntil` runs the scheduled callbacks, from one due time to the next. */
-export class VirtualClock implements Clock, Wakeups {
+export class VirtualClock implements Clock, TimeoutScheduler {
 	/** Binary min-heap of the scheduled callbacks, ordered by due time and then by order of scheduling. */
 	readonly #heap: Timer[] = [];
 	#now = 0;
@@ -25,7 +25,7 @@
 	readonly wallNow = (): number => this.#now;
 
 	/** Schedules a callback after a delay. Callbacks that are due at the same time run in the order in which they were scheduled. */
-	after(delayMs: number, run: () => void): Timer {
+	schedule(delayMs: number, run: () => void): Timer {
 		this.#order += 1;
 		const scheduled = {
 			dueAt: this.#now + Math.max(0, delayMs), order: this.#order, run, isCancelled: false,
@@ -36,7 +36,7 @@
 	}
 
 	set(run: () => void, delayMs: number): Timer {
-		return this.after(delayMs, run);
+		return this.schedule(delayMs, run);
 	}
 
 	clear(handle: unknown): void {
--- a/packages/emulator/src/weight-store.ts
+++ b/packages/emulator/src/weight-store.ts
@@ -15,7 +15,7 @@
 	/** Fetches weights. The number of concurrent loads at the start of the fetch determines its slowdown. */
 	fetch(loadMs: number, onEnd: () => void): void {
 		this.#activeLoads += 1;
-		this.#clock.after(loadMs * Math.max(1, this.#activeLoads / this.#fullSpeedLoads), () => {
+		this.#clock.schedule(loadMs * Math.max(1, this.#activeLoads / this.#fullSpeedLoads), () => {
 			this.#activeLoads -= 1;
 			onEnd();
 		});
--- a/packages/engine/src/get-closed-code.ts
+++ b/packages/engine/src/get-refusal-code.ts
@@ -3,7 +3,7 @@
 import type {AgentState} from './agent-state.js';
 
 /** Returns the result code with which the agent refuses every new request, or undefined if it accepts requests. */
-export const getClosedCode = (state: AgentState, settings: AgentSettings, now: number): ResultCodeValue | undefined => {
+export const getRefusalCode = (state: AgentState, settings: AgentSettings, now: number): ResultCodeValue | undefined => {
 	if (state.isStopping || state.isDrained) {
 		return RESULT_CODE.Draining;
 	}
--- a/packages/engine/src/index.ts
+++ b/packages/engine/src/index.ts
@@ -18,6 +18,6 @@
 export {getUnitReports} from './get-unit-reports.js';
 export {newAgentState} from './new-agent-state.js';
 export {mutateAgent} from './mutate-agent.js';
-export {mutateWithdrawn} from './mutate-withdrawn.js';
-export {getClosedCode} from './get-closed-code.js';
+export {mutateWithdrawnAttempt} from './mutate-withdrawn-attempt.js';
+export {getRefusalCode} from './get-refusal-code.js';
 export {getUsedBytes} from './get-used-bytes.js';
--- a/packages/engine/src/mutate-credits.ts
+++ b/packages/engine/src/mutate-credits.ts
@@ -1,4 +1,4 @@
-import {getClosedCode} from './get-closed-code.js';
+import {getRefusalCode} from './get-refusal-code.js';
 import type {AgentEffect} from './agent-effect.js';
 import type {AgentSettings} from './agent-settings.js';
 import type {AgentState} from './agent-state.js';
@@ -22,7 +22,7 @@
 /** Issues the unused capacity of the upstream to the entries as credits; the entry with the fewest credits is served first. */
 export const mutateCredits = (state: AgentState, settings: AgentSettings, now: number): AgentEffect[] => {
 	mutateExpired(state, now);
-	if (getClosedCode(state, settings, now) !== undefined) {
+	if (getRefusalCode(state, settings, now) !== undefined) {
 		return [];
 	}
 
--- a/packages/engine/src/mutate-dispatch.ts
+++ b/packages/engine/src/mutate-dispatch.ts
@@ -1,5 +1,5 @@
 import {OUTCOME, RESULT_CODE, type ResultCodeValue} from '@valelead/common';
-import {getClosedCode} from './get-closed-code.js';
+import {getRefusalCode} from './get-refusal-code.js';
 import {UNIT_STATE} from './unit-state.js';
 import type {AgentEffect} from './agent-effect.js';
 import type {AgentEvent} from './agent-event.js';
@@ -26,7 +26,7 @@
 		return RESULT_CODE.CreditExpired;
 	}
 
-	const refusalCode = getClosedCode(state, settings, now);
+	const refusalCode = getRefusalCode(state, settings, now);
 	if (refusalCode !== undefined) {
 		return refusalCode;
 	}
--- a/packages/engine/src/mutate-withdrawn.ts
+++ b/packages/engine/src/mutate-withdrawn-attempt.ts
@@ -5,7 +5,7 @@
  * Returns the outcome of an attempt whose response was lost. If the agent has not accepted the attempt, its credit is withdrawn: a dispatch that
  * arrives late is then refused, so that the outcome "not run" stays true.
  */
-export const mutateWithdrawn = (state: AgentState, attemptId: string, creditId: string): OutcomeValue => {
+export const mutateWithdrawnAttempt = (state: AgentState, attemptId: string, creditId: string): OutcomeValue => {
 	const attempt = state.attempts.get(attemptId);
 	if (attempt) {
 		return attempt.isEnded ? OUTCOME.Ran : OUTCOME.Unknown;
--- a/packages/intent/src/claim.ts
+++ b/packages/intent/src/claim.ts
@@ -1,4 +1,4 @@
-import type {ClaimAnswer} from './claim-answer.js';
+import type {StoredResponse} from './stored-response.js';
 
 /** The exclusive right to run a request that must not run twice, and the response of the request once it is known. */
 export type Claim = {
@@ -10,5 +10,5 @@
 	readonly deadlineAt: number;
 	/** The id of the attempt that holds the claim. Only this attempt may settle the claim. */
 	readonly owner: string;
-	readonly answer: ClaimAnswer | undefined;
+	readonly answer: StoredResponse | undefined;
 };
--- a/packages/intent/src/index.ts
+++ b/packages/intent/src/index.ts
@@ -1,6 +1,6 @@
 export type {Adapter} from './adapter.js';
 export type {Claim} from './claim.js';
-export type {ClaimAnswer} from './claim-answer.js';
+export type {StoredResponse} from './stored-response.js';
 export type {ClaimCommand} from './claim-command.js';
 export type {ClaimResult} from './claim-result.js';
 export type {Claims} from './claims.js';
--- a/packages/intent/src/claim-answer.ts
+++ b/packages/intent/src/stored-response.ts
@@ -1,7 +1,7 @@
 import type {OutcomeValue} from '@valelead/common';
 
 /** The outcome and the HTTP response of a claimed request, stored to be returned for repeated requests. */
-export type ClaimAnswer = {
+export type StoredResponse = {
 	readonly outcome: OutcomeValue;
 	readonly status: number;
 	readonly contentType: string;
--- a/packages/order-lease/src/get-holders-known-ms.ts
+++ b/packages/order-lease/src/get-holders-known-in-ms.ts
@@ -7,4 +7,4 @@
  * Returns the time until a leader knows the holders of leases that earlier leaders granted, in milliseconds. The leader does not learn of
  * holders that are partitioned from it for longer.
  */
-export const getHoldersKnownMs = ({startedAt}: LeaseState, now: number): number => Math.max(0, startedAt + HOLDER_REPORTS_MS - now);
+export const getHoldersKnownInMs = ({startedAt}: LeaseState, now: number): number => Math.max(0, startedAt + HOLDER_REPORTS_MS - now);
--- a/packages/order-lease/src/lease-candidate.ts
+++ b/packages/order-lease/src/lease-candidate.ts
@@ -1,12 +1,12 @@
-import type {HeldLease} from './held-lease.js';
+import type {ReportedLease} from './reported-lease.js';
 
 /** A process that can hold order leases, according to its last report. */
 export type LeaseCandidate = {
 	readonly vm: string;
 	/** When its last report arrived, in the leader's monotonic milliseconds. */
-	readonly heardAt: number;
+	readonly reportedAt: number;
 	/** True if the process is shutting down and will end soon. */
 	readonly isStopping: boolean;
 	/** The leases that the process holds and that are still valid by its own clock. */
-	readonly held: readonly HeldLease[];
+	readonly leases: readonly ReportedLease[];
 };
--- a/packages/order-lease/src/lease-state.ts
+++ b/packages/order-lease/src/lease-state.ts
@@ -8,9 +8,9 @@
 	/** Leases by engine address. */
 	readonly leases: Map<string, OrderLease>;
 	/** Addresses of engines that have or had a sidecar; no leases are granted for them. */
-	readonly attended: Set<string>;
+	readonly enginesWithSidecar: Set<string>;
 	/** When holders released engines that they had leased from earlier leaders, by engine address. */
-	readonly ended: Map<string, number>;
+	readonly endedAt: Map<string, number>;
 	/** When each engine that currently announces itself was first seen, by engine address. */
 	readonly firstSeenAt: Map<string, number>;
 	/** The number of leases granted in this term. */
--- a/packages/order-lease/src/mutate-leases.ts
+++ b/packages/order-lease/src/mutate-leases.ts
@@ -1,6 +1,6 @@
 import {ORDER_LEASE_MS} from './order-lease-ms.js';
 import {getNextHolderStartAt} from './get-next-holder-start-at.js';
-import {mutateRenewed} from './mutate-renewed.js';
+import {mutateRenewedLeases} from './mutate-renewed-leases.js';
 import type {LeaseCandidate} from './lease-candidate.js';
 import type {LeaseSettings} from './lease-settings.js';
 import type {LeaseState} from './lease-state.js';
@@ -59,19 +59,19 @@
 	const known = state.leases.get(address);
 	const isHeld = known !== undefined && now - known.renewedAt < ORDER_LEASE_MS;
 	// If no engine has a sidecar, a new engine gets a holder without waiting for a sidecar to start.
-	const isAwaited = state.attended.size > 0 && now - state.firstSeenAt.get(address)! < SIDECAR_START_MS;
+	const isAwaited = state.enginesWithSidecar.size > 0 && now - state.firstSeenAt.get(address)! < SIDECAR_START_MS;
 	const isSettled = !isAwaited && now - state.startedAt >= SIDECAR_START_MS;
-	if (isHeld || state.attended.has(address) || (known === undefined && !isSettled)) {
+	if (isHeld || state.enginesWithSidecar.has(address) || (known === undefined && !isSettled)) {
 		return undefined;
 	}
 
-	const next = getLeastLoadedCandidate(state, candidates.filter(candidate => now - candidate.heardAt <= ORDER_LEASE_MS));
+	const next = getLeastLoadedCandidate(state, candidates.filter(candidate => now - candidate.reportedAt <= ORDER_LEASE_MS));
 	if (!next) {
 		return undefined;
 	}
 
 	const lease = {
-		address, vm: next.vm, fence: newFence(state), startsAt: Math.max(now, getNextHolderStartAt(state, settings, address)), renewedAt: next.heardAt,
+		address, vm: next.vm, fence: newFence(state), startsAt: Math.max(now, getNextHolderStartAt(state, settings, address)), renewedAt: next.reportedAt,
 	};
 	state.leases.set(address, lease);
 	return lease;
@@ -85,7 +85,7 @@
 export const mutateLeases = (state: LeaseState, settings: LeaseSettings, {addresses, candidates}: LeaseParticipants, now: number): OrderLease[] => {
 	mutateFirstSeen(state, addresses, now);
 	for (const candidate of candidates) {
-		mutateRenewed(state, candidate);
+		mutateRenewedLeases(state, candidate);
 	}
 
 	mutateExpiredLeases(state, settings, addresses, now);
--- a/packages/order-lease/src/mutate-renewed.ts
+++ b/packages/order-lease/src/mutate-renewed-leases.ts
@@ -5,7 +5,7 @@
  * Renews the leases of a process that has reported, and adopts those that an earlier leader granted to it. Leases of engines that now have a
  * sidecar are not renewed.
  */
-export const mutateRenewed = ({leases, attended}: LeaseState, {vm, heardAt, held}: LeaseCandidate): void => {
+export const mutateRenewedLeases = ({leases, enginesWithSidecar: attended}: LeaseState, {vm, reportedAt: heardAt, leases: held}: LeaseCandidate): void => {
 	for (const lease of leases.values()) {
 		if (lease.vm === vm && heardAt > lease.renewedAt && !attended.has(lease.address)) {
 			leases.set(lease.address, {...lease, renewedAt: heardAt});
--- a/packages/order-lease/src/held-lease.ts
+++ b/packages/order-lease/src/reported-lease.ts
@@ -1,5 +1,5 @@
 /** A lease as its holder reports it to the leader. */
-export type HeldLease = {
+export type ReportedLease = {
 	/** The engine's address. */
 	readonly address: string;
 	readonly fence: number;
--- a/packages/order-lease/tests/model-installation.ts
+++ b/packages/order-lease/tests/model-installation.ts
@@ -2,7 +2,7 @@
 import type * as fc from 'fast-check';
 import {MODEL_VMS, type MODEL_STEP} from './model-step.js';
 import {
-	type HeldLease, type LeaseCandidate, type LeaseState, ORDER_LEASE_MS, getLeasesOf, getSidecarDelayMs, mutateLeases, newLeaseState,
+	type ReportedLease, type LeaseCandidate, type LeaseState, ORDER_LEASE_MS, getVmLeases, getSidecarDelayMs, mutateLeases, newLeaseState,
 } from '@valelead/order-lease';
 
 type ModelStep = typeof MODEL_STEP extends fc.Arbitrary<infer Value> ? Value : never;
@@ -59,13 +59,13 @@
 		for (const [vm, leases] of this.#holders) {
 			if (!silent.includes(vm)) {
 				this.#lastReports.set(vm, {
-					vm, heardAt: this.#now, isStopping: stopping.includes(vm), held: this.#getHeld(leases),
+					vm, reportedAt: this.#now, isStopping: stopping.includes(vm), leases: this.#getHeld(leases),
 				});
 			}
 		}
 	}
 
-	#getHeld(leases: ReadonlyMap<string, ModelLease>): HeldLease[] {
+	#getHeld(leases: ReadonlyMap<string, ModelLease>): ReportedLease[] {
 		return [...leases]
 			.filter(([, {validUntil}]) => this.#now < validUntil)
 			.map(([address, {fence, startsAt}]) => ({address, fence, startsInMs: Math.max(0, startsAt - this.#now)}));
@@ -79,7 +79,7 @@
 			return;
 		}
 
-		this.#state.attended.add(engine);
+		this.#state.enginesWithSidecar.add(engine);
 		if (!isRunning && this.#state.leases.has(engine)) {
 			this.#sidecarStartsAt = this.#now + getSidecarDelayMs(this.#state, SETTINGS, engine, this.#now);
 		}
@@ -87,7 +87,7 @@
 
 	#reply(unreached: readonly string[]): void {
 		for (const vm of MODEL_VMS.filter(other => !unreached.includes(other))) {
-			const granted = getLeasesOf(this.#state, vm);
+			const granted = getVmLeases(this.#state, vm);
 			this.#holders.set(vm, new Map(granted.map(({address, fence, startsAt}) => [address, {fence, startsAt, validUntil: this.#now + ORDER_LEASE_MS}])));
 		}
 	}
--- a/packages/order-lease/tests/order-lease.steps.ts
+++ b/packages/order-lease/tests/order-lease.steps.ts
@@ -4,7 +4,7 @@
 import {ModelInstallation} from './model-installation.js';
 import {MODEL_STEP} from './model-step.js';
 import {
-	type HeldLease, type LeaseCandidate, type LeaseState, getHoldersKnownMs, getLeasesOf, getSidecarDelayMs, mutateEnded, mutateLeases, newLeaseState,
+	type ReportedLease, type LeaseCandidate, type LeaseState, getHoldersKnownInMs, getVmLeases, getSidecarDelayMs, mutateEndedLease, mutateLeases, newLeaseState,
 } from '@valelead/order-lease';
 
 type LeaseWorld = {
@@ -12,7 +12,7 @@
 	gapMs: number;
 	/** The fencing tokens of all leases, in the order in which they were granted. */
 	fences: number[];
-	held: Map<string, HeldLease[]>;
+	held: Map<string, ReportedLease[]>;
 	/** Gateways that have reported that they are stopping. */
 	stopping: Set<string>;
 };
@@ -22,7 +22,7 @@
 const split = (text: string): string[] => text.split(', ');
 
 const newCandidate = (world: LeaseWorld, vm: string, heardAt: number): LeaseCandidate => ({
-	vm, heardAt, held: world.held.get(vm) ?? [], isStopping: world.stopping.has(vm),
+	vm, reportedAt: heardAt, leases: world.held.get(vm) ?? [], isStopping: world.stopping.has(vm),
 });
 
 Given('a leader that begins at {int} ms and an order gap of {int} ms', function (this: LeaseWorld, startedAt: number, gapMs: number) {
@@ -46,7 +46,7 @@
 });
 
 When('the sidecar of {string} reports', function (this: LeaseWorld, engine: string) {
-	this.state.attended.add(engine);
+	this.state.enginesWithSidecar.add(engine);
 });
 
 When('a leader of a later term begins at {int} ms', function (this: LeaseWorld, startedAt: number) {
@@ -58,14 +58,14 @@
 });
 
 When('a holder reports at {int} ms that its lease of {string} ended {int} ms ago', function (this: LeaseWorld, now: number, address: string, agoMs: number) {
-	mutateEnded(this.state, address, now - agoMs);
+	mutateEndedLease(this.state, address, now - agoMs);
 });
 
 Then('{string} is held by one of {string}, who may order from {int} ms on', function (this: LeaseWorld, engine: string, vms: string, startsAt: number) {
 	const lease = this.state.leases.get(engine)!;
 	assert.ok(split(vms).includes(lease.vm), lease.vm);
 	assert.equal(lease.startsAt, startsAt);
-	assert.deepEqual(getLeasesOf(this.state, lease.vm).map(({address}) => address), [engine]);
+	assert.deepEqual(getVmLeases(this.state, lease.vm).map(({address}) => address), [engine]);
 });
 
 Then('{string} may be ordered from {int} ms on', function (this: LeaseWorld, engine: string, startsAt: number) {
@@ -74,12 +74,12 @@
 
 Then('{string} is held by nobody', function (this: LeaseWorld, engine: string) {
 	const lease = this.state.leases.get(engine);
-	assert.deepEqual(lease ? getLeasesOf(this.state, lease.vm) : [], []);
+	assert.deepEqual(lease ? getVmLeases(this.state, lease.vm) : [], []);
 });
 
 Then('each of {string} holds {int} engines', function (this: LeaseWorld, vms: string, count: number) {
 	for (const vm of split(vms)) {
-		assert.equal(getLeasesOf(this.state, vm).length, count, vm);
+		assert.equal(getVmLeases(this.state, vm).length, count, vm);
 	}
 });
 
@@ -93,8 +93,8 @@
 });
 
 Then('at {int} ms it knows the previous holders in {int} ms, and at {int} ms in {int} ms', function (this: LeaseWorld, first: number, firstMs: number, second: number, secondMs: number) {
-	assert.equal(getHoldersKnownMs(this.state, first), firstMs);
-	assert.equal(getHoldersKnownMs(this.state, second), secondMs);
+	assert.equal(getHoldersKnownInMs(this.state, first), firstMs);
+	assert.equal(getHoldersKnownInMs(this.state, second), secondMs);
 });
 
 When('{int} random histories of reports, lost messages, restarts and leader changes are run', {timeout: 30_000}, (runs: number) => {
--- a/packages/protocol/src/leader-calls.ts
+++ b/packages/protocol/src/leader-client.ts
@@ -16,7 +16,7 @@
 const ATTEMPT_TIMEOUT_MS = 700;
 
 /** Calls the current leader. Follows the leader address in a voter's reply, and tries the known voters in turn if none names a leader. */
-export class LeaderCalls {
+export class LeaderClient {
 	readonly #pool: ChannelPool;
 	/** Addresses of voters in the settings. */
 	readonly #configuredAddresses: readonly string[];
@@ -40,12 +40,12 @@
 	}
 
 	/** True if the next call goes to an address that a voter named as the leader, false if it goes to the next voter of the list. */
-	get isNamed(): boolean {
+	get isLeaderKnown(): boolean {
 		return this.#namedLeader !== undefined;
 	}
 
 	/** The number of voter addresses that are tried in turn. */
-	get count(): number {
+	get voterAddressCount(): number {
 		return this.#addresses.length;
 	}
 
@@ -53,7 +53,7 @@
 	 * Updates the addresses of the voters. The addresses in the settings are tried after them: while this process has no contact with the
 	 * installation, all other known voters may move to other addresses.
 	 */
-	learn(addresses: readonly string[]): void {
+	updateVoterAddresses(addresses: readonly string[]): void {
 		if (addresses.length > 0) {
 			this.#addresses = [...new Set([...addresses, ...this.#configuredAddresses])];
 		}
--- a/packages/residency/src/get-next-step.ts
+++ b/packages/residency/src/get-next-step.ts
@@ -34,9 +34,9 @@
 const newModelOrder = (kind: EngineOrder['kind'], model: string): LoadStep => ({kind: 'order', order: {kind, model, adapter: ''}});
 
 const getModelStep = (state: ResidencyState, capacity: Capacity, engine: EngineModels, needs: readonly UnitNeed[], now: number): LoadStep => {
-	const held = new Set(engine.models.map(model => model.name));
+	const loaded = new Set(engine.models.map(model => model.name));
 	const queue = getLoadQueue({
-		loaded: held, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getModelWaitMs: model => getModelWaitMs(state, model),
+		loaded: loaded, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getModelWaitMs: model => getModelWaitMs(state, model),
 	});
 	const nextModel = queue.find(model => capacity.models.has(model));
 	if (nextModel === undefined) {
--- a/tests/requests/fake-dispatch-agent.ts
+++ b/tests/requests/fake-dispatch-agent.ts
@@ -1,6 +1,6 @@
 import {OUTCOME, type OutcomeValue, type ResultCodeValue} from '@valelead/common';
 import {
-	type AgentEffect, type AgentEvent, type AgentSettings, type AgentState, mutateAgent, mutateWithdrawn, newAgentState,
+	type AgentEffect, type AgentEvent, type AgentSettings, type AgentState, mutateAgent, mutateWithdrawnAttempt, newAgentState,
 } from '@valelead/engine';
 import {VirtualProcess} from '../support/virtual-process.js';
 import type {VirtualNetwork} from '../support/virtual-network.js';
@@ -102,7 +102,7 @@
 			return this.state.attempts.has(attemptId) ? OUTCOME.Unknown : OUTCOME.NotRun;
 		}
 
-		return mutateWithdrawn(this.state, attemptId, creditId);
+		return mutateWithdrawnAttempt(this.state, attemptId, creditId);
 	}
 
 	#start(): void {
--- a/tests/requests/fake-entry.ts
+++ b/tests/requests/fake-entry.ts
@@ -4,7 +4,7 @@
 import {
 	OUTCOME, type OutcomeValue, RESULT_CODE, type ResultCodeValue,
 } from '@valelead/common';
-import type {ClaimAnswer, ClaimCommand, ClaimResult} from '@valelead/intent';
+import type {StoredResponse, ClaimCommand, ClaimResult} from '@valelead/intent';
 import {VirtualProcess} from '../support/virtual-process.js';
 import type {VirtualNetwork} from '../support/virtual-network.js';
 import type {VirtualTime} from '../support/virtual-time.js';
@@ -330,7 +330,7 @@
 		this.#answer(request, code, outcome, '');
 	}
 
-	#settle(request: FakeRequest, answer: ClaimAnswer): void {
+	#settle(request: FakeRequest, answer: StoredResponse): void {
 		if (request.key !== '') {
 			this.#callLog({
 				kind: 'settle', team: request.team, key: request.key, owner: request.requestId, answer,
--- a/tests/support/new-virtual-timers.ts
+++ b/tests/support/new-virtual-timers.ts
@@ -1,11 +1,11 @@
-import {TimerService, type Wakeups} from '@valelead/common';
+import {TimerService, type TimeoutScheduler} from '@valelead/common';
 import type {VirtualTime} from './virtual-time.js';
 
 type Wakeup = {
 	isCancelled: boolean;
 };
 
-const newWakeups = (time: VirtualTime): Wakeups => ({
+const newWakeups = (time: VirtualTime): TimeoutScheduler => ({
 	set(run, delayMs) {
 		const wakeup: Wakeup = {isCancelled: false};
 		time.after(delayMs, () => {
