--- a/apps/valelead-daemon/src/agent/agent.ts
+++ b/apps/valelead-daemon/src/agent/agent.ts
@@ -4,7 +4,8 @@
 	type TimerService, SYSTEM_CLOCK,
 } from '@valelead/common';
 import {
-	type AgentEffect, type AgentEvent, type AgentSettings, type AgentState, type Upstream, type UpstreamOrder, getRefusalCode, getUnitReports, getUsedBytes, mutateAgent, mutateWithdrawnAttempt, newAgentState,
+	type AgentEffect, type AgentEvent, type AgentSettings, type AgentState, type Upstream, type UpstreamOrder, getRefusalCode, getUnitReports,
+	getUsedBytes, mutateAgent, mutateWithdrawnAttempt, newAgentState,
 } from '@valelead/engine';
 import {
 	type SessionReport, type SessionUpdate, SessionReportSchema,
--- a/apps/valelead-daemon/src/control/limit-registry.ts
+++ b/apps/valelead-daemon/src/control/limit-registry.ts
@@ -128,7 +128,7 @@
 	}
 
 	#removeExpired(now: number): void {
-		const expired = [...this.#limits].filter(([upstreamId, {announcedAt: announcedAt}]) => now - announcedAt > EXPIRY_MS && !this.#parts.isAnnounced(upstreamId));
+		const expired = [...this.#limits].filter(([upstreamId, {announcedAt}]) => now - announcedAt > EXPIRY_MS && !this.#parts.isAnnounced(upstreamId));
 		for (const [upstreamId] of expired) {
 			this.#limits.delete(upstreamId);
 		}
--- a/apps/valelead-daemon/src/control/order-leases.ts
+++ b/apps/valelead-daemon/src/control/order-leases.ts
@@ -168,8 +168,8 @@
 
 	/** Removes processes whose last report is older than two lease times: all their leases have expired. */
 	#removeSilentCandidates(now: number): void {
-		for (const [vm, {reportedAt: heardAt}] of this.#candidates) {
-			if (now - heardAt > 2 * ORDER_LEASE_MS) {
+		for (const [vm, {reportedAt}] of this.#candidates) {
+			if (now - reportedAt > 2 * ORDER_LEASE_MS) {
 				this.#candidates.delete(vm);
 			}
 		}
--- a/apps/valelead-daemon/src/control/quarantine-registry.ts
+++ b/apps/valelead-daemon/src/control/quarantine-registry.ts
@@ -4,7 +4,8 @@
 import type {Command} from '@valelead/intent';
 import {type FollowerReport, type QuarantineList, QuarantineListSchema} from '@valelead/protocol';
 import {
-	type CrashLedger, QUARANTINE_MS, getCrashScore, getCrashEvidence, getPausedRequests, getSuspectedRequests, isQuarantineUnfounded, mutateExpiredCrashes, mutateReleasedRequest, mutateServedRequest, mutateQuarantinedRequests,
+	type CrashLedger, QUARANTINE_MS, getCrashScore, getCrashEvidence, getPausedRequests, getSuspectedRequests, isQuarantineUnfounded,
+	mutateExpiredCrashes, mutateReleasedRequest, mutateServedRequest, mutateQuarantinedRequests,
 } from '@valelead/quarantine';
 import type {Logger} from 'pino';
 import {decodeCrash} from '../follower/decode-crash.js';
--- a/apps/valelead-daemon/src/control/quorum-watch.ts
+++ b/apps/valelead-daemon/src/control/quorum-watch.ts
@@ -28,7 +28,7 @@
 
 const getName = ({vm, id}: VoterRecord): string => `${vm}/${id}`;
 
-const getKey = ({voters, reachable: reachable}: QuorumView): string => [...voters, ...reachable].map(voter => voter.id).join(' ');
+const getKey = ({voters, reachable}: QuorumView): string => [...voters, ...reachable].map(voter => voter.id).join(' ');
 
 /** Logs how many voter failures the quorum tolerates, which voters are reachable, and for how long no leader has been known. */
 export class QuorumWatch {
--- a/apps/valelead-daemon/src/follower/routing-follower.ts
+++ b/apps/valelead-daemon/src/follower/routing-follower.ts
@@ -139,7 +139,7 @@
 	}
 
 	#newReport(sentAt: number, isFirst: boolean): SessionReport {
-		const {settings, orderLeases: orderLeases} = this.#parts;
+		const {settings, orderLeases} = this.#parts;
 		const {leases, endedLeases, keeperAddress, isStopping, attendedEngines} = orderLeases.getReport();
 		// Their number only grows, and the leader remembers them for the session.
 		const hasNewEngines = isFirst || attendedEngines.length !== this.#reportedEngineCount;
--- a/apps/valelead-daemon/src/gateway/crash-guard.ts
+++ b/apps/valelead-daemon/src/gateway/crash-guard.ts
@@ -167,7 +167,7 @@
 		const heldAt = this.#parts.clock.now();
 		const getExtensionMs = () => this.#observer.isCrashed(id) ? this.#quarantine.peerLeasesExpireInMs : 0;
 		this.#losses.defer({
-			runId: id, isCrashed: this.#observer.isCrashed(id), maxDeferMs: maxDeferMs, ...(hadBegun && {getExtensionMs: getExtensionMs}),
+			runId: id, isCrashed: this.#observer.isCrashed(id), maxDeferMs, ...(hadBegun && {getExtensionMs}),
 		}, isAlive => {
 			this.#parts.logger.info({
 				event: 'loss-held', requestId: request.head.id, upstreamId: id, phase, heldMs: Math.round(this.#parts.clock.now() - heldAt),
--- a/apps/valelead-daemon/src/gateway/deferred-failures.ts
+++ b/apps/valelead-daemon/src/gateway/deferred-failures.ts
@@ -37,7 +37,7 @@
 	}
 
 	/** @param release - Ends the deferral. `isAlive` is true if the upstream turned out to be alive, so that only its connections were lost. */
-	defer({runId, isCrashed, maxDeferMs: maxDeferMs, getExtensionMs: getExtensionMs}: FailedAttempt, release: (isAlive: boolean) => void): void {
+	defer({runId, isCrashed, maxDeferMs, getExtensionMs}: FailedAttempt, release: (isAlive: boolean) => void): void {
 		const failure: DeferredFailure = {
 			runId, crashedAt: isCrashed ? this.#clock.now() : undefined, isStrict: getExtensionMs !== undefined, release,
 		};
--- a/apps/valelead-daemon/src/gateway/load-candidates.ts
+++ b/apps/valelead-daemon/src/gateway/load-candidates.ts
@@ -88,14 +88,14 @@
 	#updateStoreLimit(views: readonly EngineView[]): void {
 		const before = this.#storeLimit.maxFetches;
 		mutateStoreConcurrencyLimit(this.#storeLimit, views.flatMap(view => getFetches(view)));
-		const {maxFetches: maxFetches, fetches} = this.#storeLimit;
+		const {maxFetches, fetches} = this.#storeLimit;
 		if (maxFetches !== before) {
 			this.#parts.onStoreLimitChange({atOnce: maxFetches, before, underWay: fetches.size});
 		}
 	}
 
 	/** True if the engine may fetch the model from the weight store, or has loaded the model and need not fetch it. */
-	#isFetchAllowed(service: string, {upstreamId, isLoaded: isLoaded}: LoadCandidate): boolean {
+	#isFetchAllowed(service: string, {upstreamId, isLoaded}: LoadCandidate): boolean {
 		const storeFetchers = this.#storeFetchers.get(service) ?? this.#newStoreFetchers(service);
 		this.#storeFetchers.set(service, storeFetchers);
 		return isLoaded || storeFetchers.has(upstreamId);
--- a/apps/valelead-daemon/src/keeping/engine-managers.ts
+++ b/apps/valelead-daemon/src/keeping/engine-managers.ts
@@ -122,7 +122,9 @@
 			}
 		}
 
-		const over = this.#leaseEnd.isExpired ? [...this.#managed].filter(([, {startsAt}]) => startsAt < this.#leaseEnd.expiresAt).map(([address]) => [address, this.#leaseEnd.expiresAt] as const) : [];
+		const over = this.#leaseEnd.isExpired
+			? [...this.#managed].filter(([, {startsAt}]) => startsAt < this.#leaseEnd.expiresAt).map(([address]) => [address, this.#leaseEnd.expiresAt] as const)
+			: [];
 		return [...this.#endedLeases, ...over].map(([engineAddress, at]) => ({engineAddress, agoMs: Math.max(0, now - at)}));
 	}
 
--- a/apps/valelead-daemon/src/sidecar/engine-manager.ts
+++ b/apps/valelead-daemon/src/sidecar/engine-manager.ts
@@ -175,15 +175,15 @@
 
 	/** Runs one planning round: polls the engine if needed, decides, and sends an order. Returns the time until the next round, in milliseconds. */
 	async #runRound(): Promise<number> {
-		const {pollIntervals: polls} = this.#parts;
+		const {pollIntervals} = this.#parts;
 		if (!this.#isFresh()) {
 			const status = await this.#reader.read();
 			if (!status || this.#scheduler.isStopped) {
-				return polls.idleMs;
+				return pollIntervals.idleMs;
 			}
 
 			if (!this.#known.update(status, this.#parts.clock.now())) {
-				return polls.endingMs;
+				return pollIntervals.endingMs;
 			}
 		}
 
@@ -202,10 +202,10 @@
 		this.#unloadNotice.end();
 		const result = await this.#order(order);
 		if (result === ORDER_RESULT.Conflict) {
-			return polls.adapterMs;
+			return pollIntervals.adapterMs;
 		}
 
-		return order.adapter === '' ? this.#getBusyMs() : polls.adapterMs;
+		return order.adapter === '' ? this.#getBusyMs() : pollIntervals.adapterMs;
 	}
 
 	#getBusyMs(): number {
--- a/bench/quota/lent-sharing.ts
+++ b/bench/quota/lent-sharing.ts
@@ -1,6 +1,7 @@
 import {
 	type Quota, type QuotaLedger, type QuotaStock, type QuotaTolerance,
-	LOAN_MS, getScarceSubjects, mutateGrantedLoans, mutateConfirmedLoans, mutateDemand, mutateLoan, mutateExpiredLoans, mutateQuotas, mutateReservedUnits, mutateNewSession, mutateSettledReservation, mutateSubjectReport,
+	LOAN_MS, getScarceSubjects, mutateGrantedLoans, mutateConfirmedLoans, mutateDemand, mutateLoan, mutateExpiredLoans, mutateQuotas,
+	mutateReservedUnits, mutateNewSession, mutateSettledReservation, mutateSubjectReport,
 	mutateUsage, newQuotaLedger, newQuotaStock,
 } from '@valelead/quota';
 import type {Sharing} from './sharing.js';
--- a/packages/consensus/src/consensus-node.ts
+++ b/packages/consensus/src/consensus-node.ts
@@ -219,7 +219,7 @@
 		const voters = this.#state.voters.filter(voter => !voter.isLearner);
 		const reachable = voters.filter(({id}) => id === selfId || now - (this.#lastReceivedAt.get(id) ?? Number.NEGATIVE_INFINITY) <= silenceMs);
 		return {
-			voters, reachable: reachable, term, leader: this.leader, isLeader: this.isLeader,
+			voters, reachable, term, leader: this.leader, isLeader: this.isLeader,
 		};
 	}
 
--- a/packages/consensus/tests/node.steps.ts
+++ b/packages/consensus/tests/node.steps.ts
@@ -2,7 +2,8 @@
 import {Given, Then, When} from '@cucumber/cucumber';
 import {SYSTEM_CLOCK, SYSTEM_SUSPENSIONS, TimerService} from '@valelead/common';
 import {
-	type ConsensusSettings, type LogStorage, type StoredLog, type FormationDecision, type DiscoveredVoter, type Voter, ConsensusNode, getFormationDecision, getVotersWithoutSilent, mutateConsensus, newConsensusState,
+	type ConsensusSettings, type LogStorage, type StoredLog, type FormationDecision, type DiscoveredVoter, type Voter, ConsensusNode,
+	getFormationDecision, getVotersWithoutSilent, mutateConsensus, newConsensusState,
 } from '@valelead/consensus';
 
 type NodeWorld = {
--- a/packages/order-lease/tests/order-lease.steps.ts
+++ b/packages/order-lease/tests/order-lease.steps.ts
@@ -21,8 +21,8 @@
 
 const split = (text: string): string[] => text.split(', ');
 
-const newCandidate = (world: LeaseWorld, vm: string, heardAt: number): LeaseCandidate => ({
-	vm, reportedAt: heardAt, leases: world.held.get(vm) ?? [], isStopping: world.stopping.has(vm),
+const newCandidate = (world: LeaseWorld, vm: string, reportedAt: number): LeaseCandidate => ({
+	vm, reportedAt, leases: world.held.get(vm) ?? [], isStopping: world.stopping.has(vm),
 });
 
 Given('a leader that begins at {int} ms and an order gap of {int} ms', function (this: LeaseWorld, startedAt: number, gapMs: number) {
--- a/packages/residency/src/get-load-queue.ts
+++ b/packages/residency/src/get-load-queue.ts
@@ -24,7 +24,7 @@
 	readonly getModelWaitMs: (model: string) => number;
 };
 
-const getMissingModels = ({loaded: loaded, needs}: QueueInputs): ReadonlySet<string> => new Set(needs.filter(need => need.waiting > 0 && !loaded.has(need.model)).map(need => need.model));
+const getMissingModels = ({loaded, needs}: QueueInputs): ReadonlySet<string> => new Set(needs.filter(need => need.waiting > 0 && !loaded.has(need.model)).map(need => need.model));
 
 /**
  * The models that requests wait for and that the engine has not loaded, in the order in which they should be loaded: by the value of the
--- a/packages/residency/src/get-next-step.ts
+++ b/packages/residency/src/get-next-step.ts
@@ -36,7 +36,7 @@
 const getModelStep = (state: ResidencyState, capacity: Capacity, engine: EngineModels, needs: readonly UnitNeed[], now: number): LoadStep => {
 	const loaded = new Set(engine.models.map(model => model.name));
 	const queue = getLoadQueue({
-		loaded: loaded, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getModelWaitMs: model => getModelWaitMs(state, model),
+		loaded, needs, getLoadMs: model => getLoadMs(capacity, engine, model), getModelWaitMs: model => getModelWaitMs(state, model),
 	});
 	const nextModel = queue.find(model => capacity.models.has(model));
 	if (nextModel === undefined) {
