--- a/apps/valelead-daemon/src/gateway/gateway.ts
+++ b/apps/valelead-daemon/src/gateway/gateway.ts
@@ -11,7 +11,7 @@
 import {RoutingConfirmation} from '../follower/routing-confirmation.js';
 import {RoutingFollower} from '../follower/routing-follower.js';
 import {GrpcServer} from '../grpc-server.js';
-import {EngineManagers} from '../keeping/engine-managers.js';
+import {EngineManagers} from '../leased-engines/engine-managers.js';
 import {Metrics} from '../metrics/metrics.js';
 import type {GatewaySettings} from '../settings/gateway-settings.js';
 import {newResidencyService} from '../sidecar/new-residency-service.js';
